--- a/core/classify/classify_test.go
+++ b/core/classify/classify_test.go
@@ -8,7 +8,7 @@
 	"github.com/dotterelswitch/dotterelswitch/core/classify"
 )
 
-func TestKinds(t *testing.T) {
+func TestClassifyKinds(t *testing.T) {
 	for sql, want := range map[string]classify.Kind{
 		"":                                     classify.Empty,
 		" -- nothing\n /* at /* all */ */ ; ":  classify.Empty,
@@ -44,12 +44,12 @@
 	}
 }
 
-func TestHints(t *testing.T) {
+func TestClassifyHints(t *testing.T) {
 	st := classify.Classify("/* dotterelswitch: key=k1 class=lookup colour=red */ SELECT '/* dotterelswitch: key=k2 */'")
 	require.Equal(t, classify.Hints{Key: "k1", Class: "lookup", Unknown: []string{"colour"}}, st.Hints)
 }
 
-// FuzzClassify checks that no text makes the lexer fail or run on for ever.
+// FuzzClassify checks that the lexer terminates without a panic on any input.
 func FuzzClassify(f *testing.F) {
 	for _, seed := range []string{"SELECT 1", "/*", "$a$", "'", `E'\`, "--", "\"", "/*/**/", "$1 $", "/* dotterelswitch: */"} {
 		f.Add(seed)
@@ -57,7 +57,7 @@
 	f.Fuzz(func(t *testing.T, sql string) {
 		st := classify.Classify(sql)
 		if st.Kind == classify.Empty && st.Count > 0 && len(st.Words) > 0 {
-			t.Fatalf("%q counts %d statements but is empty", sql, st.Count)
+			t.Fatalf("%q: classified as empty with %d statements", sql, st.Count)
 		}
 	})
 }
--- a/core/classify/hints.go
+++ b/core/classify/hints.go
@@ -2,22 +2,22 @@
 
 import "strings"
 
-// hintPrefix opens a comment that carries hints, as in
+// hintPrefix starts a block comment that contains hints, as in
 // /* dotterelswitch: key=abc class=lookup */.
 const hintPrefix = "dotterelswitch:"
 
-// Hints are the request settings that a comment on the statement may carry.
-// They hold for that statement only.
+// Hints are request settings given in a comment of a query text. They apply to that
+// query text only.
 type Hints struct {
 	// Key is the idempotency key.
 	Key string
 	// Class is the request class.
 	Class string
-	// Unknown lists the names that were not understood.
+	// Unknown lists the names of unknown hints.
 	Unknown []string
 }
 
-// parse reads the inside of a block comment.
+// parse adds the hints in the content of a block comment.
 func (h *Hints) parse(comment string) {
 	rest, found := strings.CutPrefix(strings.TrimSpace(comment), hintPrefix)
 	if !found {
--- a/core/classify/kind.go
+++ b/core/classify/kind.go
@@ -1,31 +1,31 @@
-// Package classify decides from the text of a statement where it may run. It
-// is conservative: what it does not know goes to the primary. A replica that
-// is given a write by mistake answers SQLSTATE 25006, so a wrong guess costs a
-// second trip and never a wrong result.
+// Package classify determines from the text of an SQL statement how it is routed. It
+// is conservative: unknown statements go to the primary. A replica rejects a
+// misclassified write with SQLSTATE 25006, so a wrong classification costs a retry on
+// the primary and never yields a wrong result.
 package classify
 
-// Kind says how a statement is routed.
+// Kind determines how a statement is routed.
 type Kind uint8
 
 // The kinds of statement.
 const (
-	// Write goes to the primary; it may change data.
+	// Write may change data and runs on the primary.
 	Write Kind = iota
-	// Read may run on any member that is fresh enough.
+	// Read may run on any member that satisfies the consistency level of the session.
 	Read
 	// Begin opens a transaction that may write.
 	Begin
 	// BeginRead opens a transaction declared READ ONLY.
 	BeginRead
-	// End closes a transaction.
+	// End commits or rolls back a transaction.
 	End
-	// Set changes a setting of the session.
+	// Set changes a session parameter.
 	Set
-	// Show reads a setting of the session.
+	// Show reads a session parameter.
 	Show
-	// Pinning leaves state behind on the connection and cannot be pooled.
+	// Pinning leaves state on the connection, so it cannot run on a pooled one.
 	Pinning
-	// Empty holds no statement.
+	// Empty is a query text without a statement.
 	Empty
 )
 
--- a/core/classify/lexer.go
+++ b/core/classify/lexer.go
@@ -2,65 +2,65 @@
 
 import "strings"
 
-// lexer finds the words of a query text by PostgreSQL's lexical rules.
+// lexer extracts the words of a query text by PostgreSQL's lexical rules.
 type lexer struct {
 	src   string
 	pos   int
 	words []string
-	// count is the number of statements begun; pending is true while the
-	// current one has content.
-	count   int
-	pending bool
-	hints   Hints
+	// count is the number of non-empty statements so far; nonEmpty reports whether the
+	// current statement is one of them.
+	count    int
+	nonEmpty bool
+	hints    Hints
 }
 
 func newLexer(src string) *lexer { return &lexer{src: src} }
 
-func (l *lexer) run() ([]string, int) {
+func (l *lexer) tokenize() ([]string, int) {
 	for l.pos < len(l.src) {
-		l.step()
+		l.scanToken()
 	}
 	return l.words, l.count
 }
 
-func (l *lexer) step() {
+func (l *lexer) scanToken() {
 	c := l.src[l.pos]
 	switch {
 	case c == '\'':
-		l.content()
-		l.quoted('\'', false)
+		l.markNonEmpty()
+		l.skipQuoted('\'', false)
 	case c == '"':
-		l.content()
-		l.quoted('"', false)
+		l.markNonEmpty()
+		l.skipQuoted('"', false)
 	case (c == 'e' || c == 'E') && l.peek(1) == '\'':
-		l.content()
+		l.markNonEmpty()
 		l.pos++
-		l.quoted('\'', true)
+		l.skipQuoted('\'', true)
 	case c == '$' && l.dollarTag() != "":
-		l.content()
-		l.dollarQuoted(l.dollarTag())
+		l.markNonEmpty()
+		l.skipDollarQuoted(l.dollarTag())
 	case c == '-' && l.peek(1) == '-':
-		l.lineComment()
+		l.skipLineComment()
 	case c == '/' && l.peek(1) == '*':
-		l.blockComment()
+		l.skipBlockComment()
 	case c == ';':
-		l.pending = false
+		l.nonEmpty = false
 		l.pos++
 	case isWordStart(c):
-		l.content()
-		l.word()
+		l.markNonEmpty()
+		l.scanWord()
 	default:
 		if c > ' ' {
-			l.content()
+			l.markNonEmpty()
 		}
 		l.pos++
 	}
 }
 
-// content notes that the current statement is not empty.
-func (l *lexer) content() {
-	if !l.pending {
-		l.pending = true
+// markNonEmpty counts the current statement, once.
+func (l *lexer) markNonEmpty() {
+	if !l.nonEmpty {
+		l.nonEmpty = true
 		l.count++
 	}
 }
@@ -72,7 +72,7 @@
 	return 0
 }
 
-func (l *lexer) quoted(quote byte, escapes bool) {
+func (l *lexer) skipQuoted(quote byte, escapes bool) {
 	l.pos++
 	for l.pos < len(l.src) {
 		c := l.src[l.pos]
@@ -92,8 +92,8 @@
 	}
 }
 
-// dollarTag returns the opening tag of a dollar-quoted string at the current
-// position, or "" when there is none.
+// dollarTag returns the opening tag of the dollar-quoted string at the current
+// position, or "" if there is none.
 func (l *lexer) dollarTag() string {
 	end := strings.IndexByte(l.src[l.pos+1:], '$')
 	if end < 0 {
@@ -108,7 +108,7 @@
 	return l.src[l.pos : l.pos+end+2]
 }
 
-func (l *lexer) dollarQuoted(tag string) {
+func (l *lexer) skipDollarQuoted(tag string) {
 	l.pos += len(tag)
 	end := strings.Index(l.src[l.pos:], tag)
 	if end < 0 {
@@ -118,7 +118,7 @@
 	l.pos += end + len(tag)
 }
 
-func (l *lexer) lineComment() {
+func (l *lexer) skipLineComment() {
 	end := strings.IndexByte(l.src[l.pos:], '\n')
 	if end < 0 {
 		l.pos = len(l.src)
@@ -127,8 +127,8 @@
 	l.pos += end + 1
 }
 
-// blockComment skips a comment; they nest.
-func (l *lexer) blockComment() {
+// skipBlockComment skips a block comment, which may be nested, and parses its hints.
+func (l *lexer) skipBlockComment() {
 	start, depth := l.pos, 0
 	for l.pos < len(l.src) {
 		switch {
@@ -148,7 +148,7 @@
 	}
 }
 
-func (l *lexer) word() {
+func (l *lexer) scanWord() {
 	start := l.pos
 	for l.pos < len(l.src) && isWordPart(l.src[l.pos]) {
 		l.pos++
--- a/core/classify/statement.go
+++ b/core/classify/statement.go
@@ -2,34 +2,34 @@
 
 import "slices"
 
-// Statement is what the classifier found out about one query text.
+// Statement is the classification of one query text.
 type Statement struct {
 	Kind Kind
-	// Words are the keywords and identifiers in upper case, for Set and Show.
+	// Words are the keywords and unquoted identifiers, in upper case.
 	Words []string
 	// Count is the number of statements in the text.
 	Count int
-	// Hints are the pairs of a dotterelswitch comment.
 	Hints Hints
 }
 
-// writingWords make a SELECT or WITH go to the primary.
-var writingWords = []string{
+// writeKeywords make a SELECT or WITH a write or locking query.
+var writeKeywords = []string{
 	"INSERT", "UPDATE", "DELETE", "MERGE", "INTO", "SHARE", "NEXTVAL", "SETVAL",
 	"SET_CONFIG", "LO_CREATE", "LO_UNLINK", "PG_NOTIFY", "DBLINK_EXEC",
 }
 
-// pinningWords begin statements that leave state on the connection.
-var pinningWords = []string{"LISTEN", "UNLISTEN", "DECLARE", "PREPARE", "EXECUTE", "DEALLOCATE", "DISCARD", "LOAD", "COPY"}
+// pinningKeywords are the first words of statements that leave state on the
+// connection.
+var pinningKeywords = []string{"LISTEN", "UNLISTEN", "DECLARE", "PREPARE", "EXECUTE", "DEALLOCATE", "DISCARD", "LOAD", "COPY"}
 
-// pinningCalls are functions whose effect lasts as long as the connection.
-var pinningCalls = []string{"PG_ADVISORY_LOCK", "PG_ADVISORY_LOCK_SHARED", "PG_TRY_ADVISORY_LOCK", "PG_TRY_ADVISORY_LOCK_SHARED"}
+// pinningFunctions are the functions that leave state on the connection.
+var pinningFunctions = []string{"PG_ADVISORY_LOCK", "PG_ADVISORY_LOCK_SHARED", "PG_TRY_ADVISORY_LOCK", "PG_TRY_ADVISORY_LOCK_SHARED"}
 
-// Classify reads a query text. Text inside quotes and comments is ignored but
-// for hints.
+// Classify classifies a query text. It ignores quoted text and comments other than
+// hints.
 func Classify(sql string) Statement {
 	lex := newLexer(sql)
-	words, count := lex.run()
+	words, count := lex.tokenize()
 	st := Statement{Words: words, Count: count, Hints: lex.hints}
 	st.Kind = kindOf(words, count)
 	return st
@@ -39,22 +39,22 @@
 	if len(words) == 0 {
 		return Empty
 	}
-	if slices.ContainsFunc(words, func(w string) bool { return slices.Contains(pinningCalls, w) }) {
+	if slices.ContainsFunc(words, func(word string) bool { return slices.Contains(pinningFunctions, word) }) {
 		return Pinning
 	}
-	if slices.Contains(pinningWords, words[0]) {
+	if slices.Contains(pinningKeywords, words[0]) {
 		return Pinning
 	}
-	if createsTemporary(words) {
+	if createsTemporaryObject(words) {
 		return Pinning
 	}
 	if count > 1 {
 		return Write
 	}
-	return singleKind(words)
+	return singleStatementKind(words)
 }
 
-func singleKind(words []string) Kind {
+func singleStatementKind(words []string) Kind {
 	switch words[0] {
 	case "BEGIN", "START":
 		return beginKind(words)
@@ -83,18 +83,18 @@
 	return Begin
 }
 
-// queryKind tells a query that only reads from one that locks or writes. FOR
-// alone is no sign: it is also part of SUBSTRING(x FOR n).
+// queryKind distinguishes read-only queries from those that lock or write. The word
+// FOR alone does not indicate a lock, as in SUBSTRING(x FOR n).
 func queryKind(words []string) Kind {
-	for _, w := range words {
-		if slices.Contains(writingWords, w) {
+	for _, word := range words {
+		if slices.Contains(writeKeywords, word) {
 			return Write
 		}
 	}
 	return Read
 }
 
-func createsTemporary(words []string) bool {
+func createsTemporaryObject(words []string) bool {
 	if words[0] != "CREATE" || len(words) < 2 {
 		return false
 	}
