--- a/core/health/gates.go
+++ b/core/health/gates.go
@@ -2,109 +2,106 @@
 
 import "time"
 
-// A gate that failed a call is passed over: at first for about the time in
-// which a process restarts, then for longer each time, because each try costs a
-// caller the time of a dial.
 const (
-	avoidFirst = 400 * time.Millisecond
-	avoidMax   = 5 * time.Second
-	// SilentGate is how long a gate may have calls outstanding without answering
-	// any. Load pattern: a host freezes, or is cut off, in the middle of traffic;
-	// statements that follow should not wait until the first of them times out.
-	// One slow statement alone looks the same, and then another gate serves the
-	// next just as well.
-	SilentGate = 250 * time.Millisecond
-	// LookAfter is how long a gate may have calls outstanding without answering any
-	// before it is asked for a sign of life, which costs a datagram. Load pattern: the
-	// fleet is cut in two, and a host has at most one statement under way on each
-	// gate, which shows nothing sooner. Nine of ten statements are answered within it.
-	// Looked at after 250 ms, a read came to another gate after 550 ms, when its
-	// caller's objective of 500 ms was over; now after 350 ms.
-	LookAfter = 150 * time.Millisecond
-	// LostGate is how long a gate may be silent before what cannot be run elsewhere
-	// is given up as well: most freezes are over by then, and callers that wait for
-	// a transaction still have time to begin it again.
-	LostGate = 2 * time.Second
+	// A gate that failed a call is not used for a backoff period, which doubles with
+	// each further failure: each retry costs a caller the time of a dial.
+	initialBackoff = 400 * time.Millisecond
+	maxBackoff     = 5 * time.Second
+	// GateSilenceTimeout is how long a gate with outstanding calls may stay silent
+	// before new statements are sent to another gate. It is below the statement
+	// timeout, so that statements do not queue behind a frozen or partitioned host.
+	GateSilenceTimeout = 250 * time.Millisecond
+	// GateProbeDelay is how long a gate with outstanding calls may stay silent before
+	// it is sent a liveness probe (one datagram). It leaves a read enough of a 500 ms
+	// latency objective to run on another gate.
+	GateProbeDelay = 150 * time.Millisecond
+	// GateLostTimeout is how long a gate may be silent before statements that cannot
+	// be repeated on another gate are abandoned too. It is longer than most process
+	// pauses and leaves callers time to restart a transaction.
+	GateLostTimeout = 2 * time.Second
 )
 
-// Gates is what a host knows of those that run statements for it, by address.
-// It is not safe for concurrent use.
-type Gates struct {
-	byAddress map[string]*gate
+// GateDetector tracks the liveness of gates by address. A gate is a host that holds
+// pooled connections to a member and runs other hosts' statements on them.
+// GateDetector is not safe for concurrent use.
+type GateDetector struct {
+	byAddress map[string]*gateState
 }
 
-// gate is what is known of one.
-type gate struct {
+type gateState struct {
 	outstanding int
-	// quietSince is the newest answer, or the start of the oldest call after it.
-	quietSince time.Duration
-	// avoidUntil and pause are set by failures.
-	avoidUntil, pause time.Duration
+	// silentSince is the time of the latest answer or of the start of the oldest
+	// outstanding call, whichever is later.
+	silentSince time.Duration
+	// backoff is the latest backoff period, which ends at backoffUntil; both are zero
+	// after an answered call.
+	backoffUntil, backoff time.Duration
 }
 
-func (g *Gates) get(address string) *gate {
-	if g.byAddress == nil {
-		g.byAddress = map[string]*gate{}
+func (d *GateDetector) state(address string) *gateState {
+	if d.byAddress == nil {
+		d.byAddress = map[string]*gateState{}
 	}
-	x, found := g.byAddress[address]
+	st, found := d.byAddress[address]
 	if !found {
-		x = &gate{}
-		g.byAddress[address] = x
+		st = &gateState{}
+		d.byAddress[address] = st
 	}
-	return x
+	return st
 }
 
-// Started notes a call to a gate.
-func (g *Gates) Started(address string, now time.Duration) {
-	x := g.get(address)
-	if x.outstanding == 0 {
-		x.quietSince = now
+// CallStarted records the start of a call to a gate.
+func (d *GateDetector) CallStarted(address string, now time.Duration) {
+	st := d.state(address)
+	if st.outstanding == 0 {
+		st.silentSince = now
 	}
-	x.outstanding++
+	st.outstanding++
 }
 
-// Ended notes the end of a call, and whether the gate answered it.
-func (g *Gates) Ended(address string, answered bool, now time.Duration) {
-	x := g.get(address)
-	x.outstanding--
+// CallEnded records the end of a call and whether the gate answered it.
+func (d *GateDetector) CallEnded(address string, answered bool, now time.Duration) {
+	st := d.state(address)
+	st.outstanding--
 	if answered {
-		x.quietSince, x.avoidUntil, x.pause = now, 0, 0
+		st.silentSince, st.backoffUntil, st.backoff = now, 0, 0
 		return
 	}
-	if now < x.avoidUntil {
+	if now < st.backoffUntil {
 		return
 	}
-	x.pause = min(max(2*x.pause, avoidFirst), avoidMax)
-	x.avoidUntil = now + x.pause
+	st.backoff = min(max(2*st.backoff, initialBackoff), maxBackoff)
+	st.backoffUntil = now + st.backoff
 }
 
-// Alive notes that the gate has answered something else than a call.
-func (g *Gates) Alive(address string, now time.Duration) {
-	x := g.get(address)
-	x.quietSince = max(x.quietSince, now)
+// ProbeAnswered records that the gate answered a liveness probe.
+func (d *GateDetector) ProbeAnswered(address string, now time.Duration) {
+	st := d.state(address)
+	st.silentSince = max(st.silentSince, now)
 }
 
 // Silent reports whether calls to the gate are outstanding and it has answered
-// nothing for SilentGate.
-func (g *Gates) Silent(address string, now time.Duration) bool {
-	x, found := g.byAddress[address]
-	return found && x.outstanding > 0 && now-x.quietSince > SilentGate
+// nothing for longer than GateSilenceTimeout.
+func (d *GateDetector) Silent(address string, now time.Duration) bool {
+	st, found := d.byAddress[address]
+	return found && st.outstanding > 0 && now-st.silentSince > GateSilenceTimeout
 }
 
-// Due reports whether the gate is to be asked for a sign of life.
-func (g *Gates) Due(address string, now time.Duration) bool {
-	x, found := g.byAddress[address]
-	return found && x.outstanding > 0 && now-x.quietSince >= LookAfter
+// ProbeDue reports whether a liveness probe should be sent to the gate.
+func (d *GateDetector) ProbeDue(address string, now time.Duration) bool {
+	st, found := d.byAddress[address]
+	return found && st.outstanding > 0 && now-st.silentSince >= GateProbeDelay
 }
 
-// Lost reports whether the gate has been silent for LostGate.
-func (g *Gates) Lost(address string, now time.Duration) bool {
-	x, found := g.byAddress[address]
-	return found && x.outstanding > 0 && now-x.quietSince > LostGate
+// Lost reports whether calls to the gate are outstanding and it has answered
+// nothing for longer than GateLostTimeout.
+func (d *GateDetector) Lost(address string, now time.Duration) bool {
+	st, found := d.byAddress[address]
+	return found && st.outstanding > 0 && now-st.silentSince > GateLostTimeout
 }
 
-// Usable reports whether a call to the gate is of use now.
-func (g *Gates) Usable(address string, now time.Duration) bool {
-	x, found := g.byAddress[address]
-	return !found || (!g.Silent(address, now) && now >= x.avoidUntil)
+// Usable reports whether the gate is neither silent nor in backoff.
+func (d *GateDetector) Usable(address string, now time.Duration) bool {
+	st, found := d.byAddress[address]
+	return !found || (!d.Silent(address, now) && now >= st.backoffUntil)
 }
--- a/core/health/gates_test.go
+++ b/core/health/gates_test.go
@@ -9,62 +9,60 @@
 	"github.com/dotterelswitch/dotterelswitch/core/health"
 )
 
-// TestFrozenGateIsPassedOver replays a gate that freezes in the middle of
-// traffic: what comes after a quarter of a second goes elsewhere, long before
-// the first statement times out.
-func TestFrozenGateIsPassedOver(t *testing.T) {
-	var g health.Gates
+// A gate that stops answering under load becomes unusable before the first
+// outstanding statement times out.
+func TestSilentGateIsNotUsable(t *testing.T) {
+	var d health.GateDetector
 	for i := range 10 {
-		g.Started("a", time.Duration(i)*20*ms)
+		d.CallStarted("a", time.Duration(i)*20*ms)
 	}
-	g.Ended("a", true, 190*ms)
-	require.True(t, g.Usable("a", 190*ms+health.SilentGate))
-	require.False(t, g.Usable("a", 191*ms+health.SilentGate))
-	require.True(t, g.Usable("b", time.Second))
-	g.Ended("a", true, 2*time.Second)
-	require.True(t, g.Usable("a", 2*time.Second), "it has thawed")
+	d.CallEnded("a", true, 190*ms)
+	require.True(t, d.Usable("a", 190*ms+health.GateSilenceTimeout))
+	require.False(t, d.Usable("a", 191*ms+health.GateSilenceTimeout))
+	require.True(t, d.Usable("b", time.Second))
+	d.CallEnded("a", true, 2*time.Second)
+	require.True(t, d.Usable("a", 2*time.Second), "the gate answers again")
 }
 
-func TestIdleGateIsNotSilent(t *testing.T) {
-	var g health.Gates
-	g.Started("a", 0)
-	g.Ended("a", true, 10*ms)
-	require.True(t, g.Usable("a", time.Hour))
+func TestIdleGateIsUsable(t *testing.T) {
+	var d health.GateDetector
+	d.CallStarted("a", 0)
+	d.CallEnded("a", true, 10*ms)
+	require.True(t, d.Usable("a", time.Hour))
 }
 
-func TestFailingGateIsTriedMoreRarely(t *testing.T) {
-	var g health.Gates
+func TestFailingGateBacksOffExponentially(t *testing.T) {
+	var d health.GateDetector
 	now := time.Duration(0)
-	var pauses []time.Duration
+	var backoffs []time.Duration
 	for range 6 {
-		g.Started("a", now)
-		g.Ended("a", false, now)
-		pause := time.Duration(0)
-		for !g.Usable("a", now+pause) {
-			pause += 100 * ms
+		d.CallStarted("a", now)
+		d.CallEnded("a", false, now)
+		backoff := time.Duration(0)
+		for !d.Usable("a", now+backoff) {
+			backoff += 100 * ms
 		}
-		pauses = append(pauses, pause)
-		now += pause
+		backoffs = append(backoffs, backoff)
+		now += backoff
 	}
-	require.Equal(t, []time.Duration{400 * ms, 800 * ms, 1600 * ms, 3200 * ms, 5000 * ms, 5000 * ms}, pauses)
-	g.Started("a", now)
-	g.Ended("a", true, now)
-	require.True(t, g.Usable("a", now))
+	require.Equal(t, []time.Duration{400 * ms, 800 * ms, 1600 * ms, 3200 * ms, 5000 * ms, 5000 * ms}, backoffs)
+	d.CallStarted("a", now)
+	d.CallEnded("a", true, now)
+	require.True(t, d.Usable("a", now))
 }
 
-// TestSilentGateIsLookedAtWithinItsCallersObjective: the one statement that a host
-// of a large fleet has on a gate shows a cut sooner than its objective is over, with
-// time left to run it elsewhere.
-func TestSilentGateIsLookedAtWithinItsCallersObjective(t *testing.T) {
-	const objective, look, rest = 500 * ms, 200 * ms, 100 * ms
-	var g health.Gates
-	require.False(t, g.Due("a", time.Second), "nothing is outstanding")
-	g.Started("a", time.Second)
-	require.False(t, g.Due("a", time.Second+health.LookAfter-1))
-	require.True(t, g.Due("a", time.Second+health.LookAfter))
-	require.LessOrEqual(t, health.LookAfter+look+rest, objective)
-	g.Alive("a", 1100*ms)
-	require.False(t, g.Due("a", time.Second+health.LookAfter), "it has given a sign of life")
-	g.Ended("a", true, 1200*ms)
-	require.False(t, g.Due("a", 2*time.Second))
+// A single outstanding statement triggers a probe early enough to run the statement on
+// another gate within its latency objective.
+func TestSilentGateIsProbedWithinLatencyObjective(t *testing.T) {
+	const objective, probeTime, executionTime = 500 * ms, 200 * ms, 100 * ms
+	var d health.GateDetector
+	require.False(t, d.ProbeDue("a", time.Second), "no call is outstanding")
+	d.CallStarted("a", time.Second)
+	require.False(t, d.ProbeDue("a", time.Second+health.GateProbeDelay-1))
+	require.True(t, d.ProbeDue("a", time.Second+health.GateProbeDelay))
+	require.LessOrEqual(t, health.GateProbeDelay+probeTime+executionTime, objective)
+	d.ProbeAnswered("a", 1100*ms)
+	require.False(t, d.ProbeDue("a", time.Second+health.GateProbeDelay), "the gate answered a probe")
+	d.CallEnded("a", true, 1200*ms)
+	require.False(t, d.ProbeDue("a", 2*time.Second))
 }
--- a/core/health/health.go
+++ b/core/health/health.go
@@ -1,189 +1,187 @@
-// Package health judges from a host's own exchanges whether a member is dead.
+// Package health implements failure detectors for database members and gates, based
+// on the host's own exchanges with them.
 package health
 
 import "time"
 
 const (
-	// RefusedFor is how long a member must refuse connections to count as dead.
-	// A refusal is an answer of its machine that nothing listens, so little more
-	// than a restart of the listener has to be ruled out, and more than half of
-	// the voters must have found the same.
-	RefusedFor = 100 * time.Millisecond
-	// BrokenFor is the same where some of the failures are connections that broke:
-	// a member that is up may reset them all at once.
-	BrokenFor = 250 * time.Millisecond
-	// SilentFor is the longest silence that it takes for a member to count as dead,
-	// however long its pauses usually are. It is several times the longest queue of
-	// a member under full load.
-	SilentFor = 1200 * time.Millisecond
-	// SilentWithOthers is how long silence must last, after an exchange that was
-	// given up, for a host that another one has told that the member is dead: one
+	// RefusedTimeout is how long a member must refuse connections to count as dead.
+	// A refusal proves that nothing listens on the port, so the timeout only has to
+	// cover a restart of the listener, and a failover takes a majority of the voters.
+	RefusedTimeout = 100 * time.Millisecond
+	// BrokenTimeout replaces RefusedTimeout if some of the failures are broken
+	// connections: a member that is up may reset all of them at once.
+	BrokenTimeout = 250 * time.Millisecond
+	// MaxSilenceTimeout is how long a member must be silent to count as dead; a
+	// timeout derived from its recent pauses may be shorter. It is several times the
+	// queueing delay of a member under full load.
+	MaxSilenceTimeout = 1200 * time.Millisecond
+	// CorroboratedSilenceTimeout replaces MaxSilenceTimeout after an exchange that
+	// timed out, if another host has reported the member dead. It covers one
 	// connection attempt.
-	SilentWithOthers = 500 * time.Millisecond
-	// failuresToBelieve is how many refusals in a row it takes, and
-	// asksToBelieve how many exchanges without an answer: one may be lost.
-	failuresToBelieve = 2
-	asksToBelieve     = 2
-	// EvidenceLasts is how long a failed exchange counts on a host that has no
-	// reason for another one: longer than the longest time of a statement.
-	EvidenceLasts = 2 * time.Second
+	CorroboratedSilenceTimeout = 500 * time.Millisecond
+	// minFailures is the number of consecutive refused or broken connections, and
+	// minUnanswered that of unanswered requests, needed to declare a member dead: a
+	// single packet may be lost.
+	minFailures   = 2
+	minUnanswered = 2
+	// EvidenceTTL is how long a failed exchange counts if no other one follows. It is
+	// longer than the statement timeout.
+	EvidenceTTL = 2 * time.Second
 )
 
-// Health is the evidence on one member. It is not safe for concurrent use.
-// Times are on a clock that also counts suspended time.
-type Health struct {
-	// TimeoutsOnly leaves silence out that is not the end of an exchange's time.
+// MemberDetector is the failure detector for one member. It is not safe for
+// concurrent use. Times are read from a clock that includes suspended time.
+type MemberDetector struct {
+	// TimeoutsOnly disables silence detection: only failed exchanges count.
 	TimeoutsOnly bool
-	// lastSuccess is when the newest exchange that succeeded was sent.
+	// lastSuccess is the send time of the latest exchange that succeeded.
 	lastSuccess time.Duration
 	failing     bool
 	failedSince time.Duration
 	refusals    int
-	breaks      int
-	silences    int
-	quiet       quiet
-	// newest is when the newest exchange began.
-	newest time.Duration
-}
-
-// Asked notes that something was sent to the member that it should answer.
-func (h *Health) Asked(now time.Duration) {
-	h.newest = max(h.newest, now)
-	h.quiet.asked(now, false)
-}
-
-// Dialled notes that a connection to the member is tried.
-func (h *Health) Dialled(now time.Duration) {
-	h.newest = max(h.newest, now)
-	h.quiet.asked(now, true)
-}
-
-// Expire forgets what failed or stayed unanswered when the newest exchange is
-// EvidenceLasts old. It is for a host that sends its statements through others and
-// does not judge the member: nothing else would end its doubt.
-//
-// Load pattern: all hosts start again, and those that do not know each other yet
-// open connections to members that have none to spare. 49 of 295 hosts doubted a
-// primary for good after that. They asked the holder of the promotion lock about
-// it, which asked the voters: 2,180 datagrams a second for as long as they ran,
-// counted from the hosts' logs, and a probe of each such primary every 33 ms.
-func (h *Health) Expire(now time.Duration) {
-	if now-h.newest < EvidenceLasts {
+	disconnects int
+	timeouts    int
+	silence     silenceDetector
+	// lastExchange is the start time of the latest exchange.
+	lastExchange time.Duration
+}
+
+// RequestSent records a request that the member should answer.
+func (d *MemberDetector) RequestSent(now time.Duration) {
+	d.lastExchange = max(d.lastExchange, now)
+	d.silence.requestSent(now, false)
+}
+
+// DialStarted records the start of a connection attempt.
+func (d *MemberDetector) DialStarted(now time.Duration) {
+	d.lastExchange = max(d.lastExchange, now)
+	d.silence.requestSent(now, true)
+}
+
+// ExpireEvidence drops failures and unanswered requests once the latest exchange is
+// older than EvidenceTTL. It is for hosts that reach the member only through gates:
+// without it, a failed connection attempt would keep the member suspect for good,
+// as no later exchange clears it.
+func (d *MemberDetector) ExpireEvidence(now time.Duration) {
+	if now-d.lastExchange < EvidenceTTL {
 		return
 	}
-	h.forgetFailures()
-	h.quiet.forget(now)
+	d.clearFailures()
+	d.silence.reset(now)
 }
 
-// Connected notes that a connection that was tried stands, and that the member is
-// asked for its login.
-func (h *Health) Connected(now time.Duration) {
-	h.quiet.connected()
-	h.refusals = 0
-	h.quiet.asked(now, false)
+// DialSucceeded records that a connection attempt succeeded and that the login
+// request was sent.
+func (d *MemberDetector) DialSucceeded(now time.Duration) {
+	d.silence.dialSucceeded()
+	d.refusals = 0
+	d.silence.requestSent(now, false)
 }
 
-// Answered notes an answer, or a part of one, to something sent at the given
+// ResponseReceived records a full or partial response to a request sent at the given
 // time.
-func (h *Health) Answered(sent, now time.Duration) {
-	h.quiet.answered(now)
-	h.Succeeded(sent)
+func (d *MemberDetector) ResponseReceived(sent, now time.Duration) {
+	d.silence.responseReceived(now)
+	d.ExchangeSucceeded(sent)
 }
 
-// Succeeded notes an answer to something sent at the given time.
-func (h *Health) Succeeded(sent time.Duration) {
-	h.lastSuccess = max(h.lastSuccess, sent)
-	if h.failing && sent >= h.failedSince {
-		h.forgetFailures()
+// ExchangeSucceeded records a successful exchange that began at the given time. It
+// does not clear failures of exchanges that began later.
+func (d *MemberDetector) ExchangeSucceeded(sent time.Duration) {
+	d.lastSuccess = max(d.lastSuccess, sent)
+	if d.failing && sent >= d.failedSince {
+		d.clearFailures()
 	}
 }
 
-func (h *Health) forgetFailures() {
-	h.failing, h.failedSince = false, 0
-	h.refusals, h.breaks, h.silences = 0, 0, 0
+func (d *MemberDetector) clearFailures() {
+	d.failing, d.failedSince = false, 0
+	d.refusals, d.disconnects, d.timeouts = 0, 0, 0
 }
 
-// Refused notes that the member's machine refused a connection tried at the
-// given time.
-func (h *Health) Refused(sent, now time.Duration) {
-	h.quiet.answered(now)
-	h.fail(sent)
-	h.refusals++
+// ConnectionRefused records that the member's machine refused a connection attempt
+// made at the given time.
+func (d *MemberDetector) ConnectionRefused(sent, now time.Duration) {
+	d.silence.responseReceived(now)
+	d.recordFailure(sent)
+	d.refusals++
 }
 
-// Broken notes that a connection broke before something sent at the given time
-// was answered.
-func (h *Health) Broken(sent, now time.Duration) {
-	h.quiet.answered(now)
-	h.fail(sent)
-	h.breaks++
+// ConnectionBroken records that a connection broke before a request sent at the given
+// time was answered.
+func (d *MemberDetector) ConnectionBroken(sent, now time.Duration) {
+	d.silence.responseReceived(now)
+	d.recordFailure(sent)
+	d.disconnects++
 }
 
-// Listens notes that the member's machine took a connection that was only to try
-// it.
-func (h *Health) Listens() {
-	h.quiet.connected()
-	h.refusals = 0
+// ProbeAccepted records that the member's machine accepted a connection that was
+// opened only as a probe.
+func (d *MemberDetector) ProbeAccepted() {
+	d.silence.dialSucceeded()
+	d.refusals = 0
 }
 
-// Silent notes that something sent at the given time was given up.
-func (h *Health) Silent(sent time.Duration) {
-	h.fail(sent)
-	h.silences++
+// ExchangeTimedOut records that a request sent at the given time timed out.
+func (d *MemberDetector) ExchangeTimedOut(sent time.Duration) {
+	d.recordFailure(sent)
+	d.timeouts++
 }
 
-func (h *Health) fail(sent time.Duration) {
-	h.newest = max(h.newest, sent)
-	if sent < h.lastSuccess || h.failing {
+func (d *MemberDetector) recordFailure(sent time.Duration) {
+	d.lastExchange = max(d.lastExchange, sent)
+	if sent < d.lastSuccess || d.failing {
 		return
 	}
-	h.failing, h.failedSince = true, sent
-	h.refusals, h.breaks, h.silences = 0, 0, 0
+	d.failing, d.failedSince = true, sent
+	d.refusals, d.disconnects, d.timeouts = 0, 0, 0
 }
 
-// Resumed notes that this host itself stood still until now: what it could not
-// hear meanwhile is no evidence.
-func (h *Health) Resumed(now time.Duration) {
-	h.quiet.resumed(now)
-	if h.failing {
-		h.failedSince = max(h.failedSince, now)
+// Resumed records that this process was suspended until now, so that the time it was
+// suspended does not count as silence of the member.
+func (d *MemberDetector) Resumed(now time.Duration) {
+	d.silence.resumed(now)
+	if d.failing {
+		d.failedSince = max(d.failedSince, now)
 	}
 }
 
-// Doubtful reports whether the newest exchange failed, or the member is silent
-// for longer than answers usually take: it should be probed.
-func (h *Health) Doubtful(now time.Duration) bool {
-	return h.failing || !h.TimeoutsOnly && h.quiet.doubtful(now)
+// Suspect reports whether the member should be probed: its latest exchange failed, or
+// it has been silent for longer than its recent pauses.
+func (d *MemberDetector) Suspect(now time.Duration) bool {
+	return d.failing || !d.TimeoutsOnly && d.silence.suspect(now)
 }
 
-// Failing reports whether the newest exchange failed.
-func (h *Health) Failing() bool { return h.failing }
+// Failing reports whether an exchange failed and none that began later succeeded.
+func (d *MemberDetector) Failing() bool { return d.failing }
 
-// Refusing reports whether the member's machine refused the newest connection.
-func (h *Health) Refusing() bool { return h.failing && h.refusals > 0 }
+// Refusing reports whether the member is failing and has refused a connection since
+// the last one that it accepted.
+func (d *MemberDetector) Refusing() bool { return d.failing && d.refusals > 0 }
 
-// LastSuccess returns when the newest exchange that succeeded was sent.
-func (h *Health) LastSuccess() time.Duration { return h.lastSuccess }
+// LastSuccess returns the send time of the latest exchange that succeeded.
+func (d *MemberDetector) LastSuccess() time.Duration { return d.lastSuccess }
 
-// Dead reports whether the evidence is enough to call the member dead.
-// Corroborated tells that another host has called it dead.
-func (h *Health) Dead(now time.Duration, corroborated bool) bool {
-	if !h.TimeoutsOnly && h.quiet.dead(now) {
+// Dead reports whether the member is considered dead. The corroborated flag means
+// that another host has reported it dead, which shortens the timeout.
+func (d *MemberDetector) Dead(now time.Duration, corroborated bool) bool {
+	if !d.TimeoutsOnly && d.silence.dead(now) {
 		return true
 	}
-	if !h.failing {
+	if !d.failing {
 		return false
 	}
-	since := now - h.failedSince
-	if h.refusals >= failuresToBelieve && since >= RefusedFor {
+	failingFor := now - d.failedSince
+	if d.refusals >= minFailures && failingFor >= RefusedTimeout {
 		return true
 	}
-	if h.refusals+h.breaks >= failuresToBelieve && since >= BrokenFor {
+	if d.refusals+d.disconnects >= minFailures && failingFor >= BrokenTimeout {
 		return true
 	}
-	enough := SilentFor
+	timeout := MaxSilenceTimeout
 	if corroborated {
-		enough = SilentWithOthers
+		timeout = CorroboratedSilenceTimeout
 	}
-	return h.silences > 0 && since >= enough
+	return d.timeouts > 0 && failingFor >= timeout
 }
--- a/core/health/health_test.go
+++ b/core/health/health_test.go
@@ -11,61 +11,59 @@
 
 const ms = time.Millisecond
 
-func TestOneRefusalIsNotDeath(t *testing.T) {
-	var h health.Health
-	h.Refused(100*ms, 100*ms)
-	require.True(t, h.Failing())
-	require.False(t, h.Dead(10*time.Second, false), "a listener that restarts refuses once")
-	h.Refused(300*ms, 300*ms)
-	require.False(t, h.Dead(100*ms+health.RefusedFor-1, false))
-	require.True(t, h.Dead(100*ms+health.RefusedFor, false))
+func TestDeadAfterRepeatedRefusals(t *testing.T) {
+	var d health.MemberDetector
+	d.ConnectionRefused(100*ms, 100*ms)
+	require.True(t, d.Failing())
+	require.False(t, d.Dead(10*time.Second, false), "a restarting listener may refuse one connection")
+	d.ConnectionRefused(300*ms, 300*ms)
+	require.False(t, d.Dead(100*ms+health.RefusedTimeout-1, false))
+	require.True(t, d.Dead(100*ms+health.RefusedTimeout, false))
 }
 
-func TestSilenceTakesLonger(t *testing.T) {
-	var h health.Health
-	h.Silent(100 * ms)
-	require.False(t, h.Dead(100*ms+health.SilentFor-1, false))
-	require.True(t, h.Dead(100*ms+health.SilentFor, false))
-	require.True(t, h.Dead(100*ms+health.SilentWithOthers, true), "another host found the same")
-	require.False(t, h.Dead(100*ms+health.SilentWithOthers-1, true))
+func TestDeadAfterTimeout(t *testing.T) {
+	var d health.MemberDetector
+	d.ExchangeTimedOut(100 * ms)
+	require.False(t, d.Dead(100*ms+health.MaxSilenceTimeout-1, false))
+	require.True(t, d.Dead(100*ms+health.MaxSilenceTimeout, false))
+	require.True(t, d.Dead(100*ms+health.CorroboratedSilenceTimeout, true), "corroborated by another host")
+	require.False(t, d.Dead(100*ms+health.CorroboratedSilenceTimeout-1, true))
 }
 
-// TestLateFailureOfAnOldExchange: an answer to something sent later is newer
-// evidence than a timeout that is noticed after it.
-func TestLateFailureOfAnOldExchange(t *testing.T) {
-	var h health.Health
-	h.Succeeded(500 * ms)
-	h.Silent(100 * ms)
-	require.False(t, h.Failing())
+// A timeout of an exchange that began before the latest successful one is ignored.
+func TestFailureOfOlderExchangeIsIgnored(t *testing.T) {
+	var d health.MemberDetector
+	d.ExchangeSucceeded(500 * ms)
+	d.ExchangeTimedOut(100 * ms)
+	require.False(t, d.Failing())
 }
 
-func TestAnswerToAnOlderRequestDoesNotClear(t *testing.T) {
-	var h health.Health
-	h.Silent(500 * ms)
-	h.Succeeded(400 * ms)
-	require.True(t, h.Failing())
-	h.Succeeded(600 * ms)
-	require.False(t, h.Failing())
-	require.False(t, h.Dead(time.Hour, false))
+func TestSuccessOfOlderExchangeDoesNotClearFailure(t *testing.T) {
+	var d health.MemberDetector
+	d.ExchangeTimedOut(500 * ms)
+	d.ExchangeSucceeded(400 * ms)
+	require.True(t, d.Failing())
+	d.ExchangeSucceeded(600 * ms)
+	require.False(t, d.Failing())
+	require.False(t, d.Dead(time.Hour, false))
 }
 
-// TestDoubtEndsWhereNothingElseWouldEndIt: a host that has no reason to ask a
-// member again does not doubt it for good.
-func TestDoubtEndsWhereNothingElseWouldEndIt(t *testing.T) {
-	for name, doubt := range map[string]func(*health.Health){
-		"refused":    func(h *health.Health) { h.Refused(time.Second, time.Second) },
-		"silent":     func(h *health.Health) { h.Silent(time.Second) },
-		"unanswered": func(h *health.Health) { h.Asked(time.Second) },
-		"dialled":    func(h *health.Health) { h.Dialled(time.Second) },
+// A host that has no further exchanges with a member must not suspect it forever.
+func TestEvidenceExpires(t *testing.T) {
+	for name, fail := range map[string]func(*health.MemberDetector){
+		"refused":    func(d *health.MemberDetector) { d.ConnectionRefused(time.Second, time.Second) },
+		"timeout":    func(d *health.MemberDetector) { d.ExchangeTimedOut(time.Second) },
+		"unanswered": func(d *health.MemberDetector) { d.RequestSent(time.Second) },
+		"dialled":    func(d *health.MemberDetector) { d.DialStarted(time.Second) },
 	} {
 		t.Run(name, func(t *testing.T) {
-			var h health.Health
-			doubt(&h)
-			h.Expire(2900 * ms)
-			require.True(t, h.Doubtful(2900*ms), "it may still be answered, or asked again")
-			h.Expire(3000 * ms)
-			require.False(t, h.Doubtful(10*time.Second))
-			require.False(t, h.Dead(10*time.Second, true))
+			var d health.MemberDetector
+			fail(&d)
+			d.ExpireEvidence(2900 * ms)
+			require.True(t, d.Suspect(2900*ms), "the evidence has not expired")
+			d.ExpireEvidence(3000 * ms)
+			require.False(t, d.Suspect(10*time.Second))
+			require.False(t, d.Dead(10*time.Second, true))
 		})
 	}
 }
--- a/core/health/silence.go
+++ b/core/health/silence.go
@@ -6,87 +6,84 @@
 )
 
 const (
-	// doubtAfter is how long a member may leave everything unanswered before it is
-	// probed: about the longest pause of a member whose queue is full (24
-	// statements of 12 ms on two slots), and a round trip between regions.
-	doubtAfter = 150 * time.Millisecond
-	// dialSilence is how long connection attempts must stay unanswered, where there
-	// was nothing else to ask. The member's machine answers them by itself,
-	// without a queue, so it is several round trips between regions.
-	dialSilence = 300 * time.Millisecond
-	// leastSilence is the shortest silence that counts as death where pauses are
-	// usually short: a member that stands still for less is not worth a failover,
-	// which costs callers a second.
-	leastSilence = 500 * time.Millisecond
-	// pausesToDeath is how many times its longest usual pause a member must be
-	// silent.
-	pausesToDeath = 4
-	// pauseHalfLife is the time in which a long pause counts half.
+	// minSuspectDelay is the shortest silence after which a member is probed. It covers
+	// the queueing delay of a member whose queue is full, plus a round trip between
+	// regions.
+	minSuspectDelay = 150 * time.Millisecond
+	// dialSilenceTimeout is the timeout if only connection attempts are unanswered. The
+	// kernel of the member's machine accepts connections without queueing, so a few
+	// round trips between regions are enough.
+	dialSilenceTimeout = 300 * time.Millisecond
+	// minSilenceTimeout is the shortest silence after which a member with unanswered
+	// requests counts as dead: a failover costs callers more than a shorter stall.
+	minSilenceTimeout = 500 * time.Millisecond
+	// pauseMultiplier is the ratio of the silence timeout to the member's recent pause.
+	pauseMultiplier = 4
+	// pauseHalfLife is the half-life with which the longest pause decays.
 	pauseHalfLife = 5 * time.Second
 )
 
-// quiet measures how long a member leaves what it is asked unanswered, and how
-// long it usually does. Fault pattern: a machine goes dark in the middle of
-// traffic; dozens of statements wait, and none of them would time out for most
-// of a second. Any answer to any of them is a sign of life.
-type quiet struct {
-	// since is when the first thing was asked that no answer came after; asks
-	// counts what was asked since, and dials how much of it were connections.
-	since       time.Duration
-	asks, dials int
-	// longest is the longest pause before an answer, as it counted at heard.
-	longest, heard time.Duration
+// silenceDetector compares the time since a member's latest answer with the pauses
+// between its recent answers. It detects a machine that fails under load sooner than
+// the timeouts of the outstanding statements. Any answer resets it.
+type silenceDetector struct {
+	// since is the time of the first request sent after the latest answer. unanswered
+	// counts the requests and connection attempts since then, pendingDials only the
+	// connection attempts.
+	since                    time.Duration
+	unanswered, pendingDials int
+	// maxPause is the longest pause before an answer, decayed up to lastAnswer.
+	maxPause, lastAnswer time.Duration
 }
 
-func (q *quiet) asked(now time.Duration, dial bool) {
-	if q.asks == 0 {
-		q.since = now
+func (d *silenceDetector) requestSent(now time.Duration, dial bool) {
+	if d.unanswered == 0 {
+		d.since = now
 	}
-	q.asks++
+	d.unanswered++
 	if dial {
-		q.dials++
+		d.pendingDials++
 	}
 }
 
-func (q *quiet) answered(now time.Duration) {
-	if q.asks > 0 {
-		q.longest = max(q.usual(now), now-q.since)
-		q.heard = now
+func (d *silenceDetector) responseReceived(now time.Duration) {
+	if d.unanswered > 0 {
+		d.maxPause = max(d.recentPause(now), now-d.since)
+		d.lastAnswer = now
 	}
-	q.forget(now)
+	d.reset(now)
 }
 
-// forget drops what is unanswered.
-func (q *quiet) forget(now time.Duration) { q.asks, q.dials, q.since = 0, 0, now }
+// reset discards the unanswered requests.
+func (d *silenceDetector) reset(now time.Duration) { d.unanswered, d.pendingDials, d.since = 0, 0, now }
 
-// connected takes a connection attempt back that succeeded: it shows that the
-// machine is there, but not that the member answers.
-func (q *quiet) connected() {
-	q.asks, q.dials = max(q.asks-1, 0), max(q.dials-1, 0)
+// dialSucceeded removes a connection attempt from the unanswered ones. It does not
+// reset the detector: the machine is reachable, but the database may not answer.
+func (d *silenceDetector) dialSucceeded() {
+	d.unanswered, d.pendingDials = max(d.unanswered-1, 0), max(d.pendingDials-1, 0)
 }
 
-// resumed has the silence begin now.
-func (q *quiet) resumed(now time.Duration) { q.since = max(q.since, now) }
+// resumed restarts the measured silence after this process was suspended.
+func (d *silenceDetector) resumed(now time.Duration) { d.since = max(d.since, now) }
 
-// usual returns the longest pause of late.
-func (q *quiet) usual(now time.Duration) time.Duration {
-	halves := float64(now-q.heard) / float64(pauseHalfLife)
-	return time.Duration(float64(q.longest) * math.Exp2(-halves))
+// recentPause returns the longest pause, decayed by its age.
+func (d *silenceDetector) recentPause(now time.Duration) time.Duration {
+	halfLives := float64(now-d.lastAnswer) / float64(pauseHalfLife)
+	return time.Duration(float64(d.maxPause) * math.Exp2(-halfLives))
 }
 
-func (q *quiet) doubtful(now time.Duration) bool {
-	return q.asks > 0 && now-q.since >= max(doubtAfter, q.usual(now))
+func (d *silenceDetector) suspect(now time.Duration) bool {
+	return d.unanswered > 0 && now-d.since >= max(minSuspectDelay, d.recentPause(now))
 }
 
-// dead reports whether the silence is long enough to call the member dead.
-func (q *quiet) dead(now time.Duration) bool {
-	return q.asks >= asksToBelieve && now-q.since >= q.enough(now)
+func (d *silenceDetector) dead(now time.Duration) bool {
+	return d.unanswered >= minUnanswered && now-d.since >= d.timeout(now)
 }
 
-// enough returns how long a silence must last.
-func (q *quiet) enough(now time.Duration) time.Duration {
-	if q.asks == q.dials {
-		return dialSilence
+// timeout returns how long the member must be silent to count as dead.
+func (d *silenceDetector) timeout(now time.Duration) time.Duration {
+	if d.unanswered == d.pendingDials {
+		return dialSilenceTimeout
 	}
-	return min(max(pausesToDeath*q.usual(now), leastSilence), SilentFor)
+	return min(max(pauseMultiplier*d.recentPause(now), minSilenceTimeout), MaxSilenceTimeout)
 }
--- a/core/mechanism/mechanism.go
+++ b/core/mechanism/mechanism.go
@@ -1,6 +1,5 @@
-// Package mechanism names the mechanisms that a host can be run without, so that
-// anybody can measure what one of them gains. What guards a promise is not in it:
-// it stays, whatever it gains.
+// Package mechanism lists the optimizations that can be disabled on a host, to measure
+// the effect of each. Mechanisms that correctness depends on cannot be disabled.
 package mechanism
 
 import (
@@ -9,52 +8,58 @@
 	"strings"
 )
 
-// Name names a mechanism.
+// Name identifies a mechanism in settings.
 type Name string
 
-// The mechanisms.
+// The mechanisms. A gate is a host that holds pooled connections to a member and runs
+// other hosts' statements on them. A floor is the log position that a replica must
+// have applied to serve a read.
 const (
-	// Gates has a few hosts keep a member's connections for all.
+	// Gates lets a few hosts hold the connections to a member for all hosts.
 	Gates Name = "gates"
-	// Relays has one host of a zone watch the store for the others.
+	// Relays lets one host per availability zone watch the store for the others.
 	Relays Name = "relays"
-	// PeerFloors asks other hosts for a floor where none is known.
+	// PeerFloors asks other hosts for a floor if none is known.
 	PeerFloors Name = "peer-floors"
-	// RefusalFloors tells a floor with each answer to another host.
+	// RefusalFloors includes the current floor in each answer to another host.
 	RefusalFloors Name = "refusal-floors"
-	// GateFloors sends a read without a floor to a replica's gate, which finds one.
+	// GateFloors sends a read without a known floor to a gate of a replica, which
+	// looks one up.
 	GateFloors Name = "gate-floors"
-	// ReplicaWait has a read of a caller's own commit wait for a replica.
+	// ReplicaWait lets a read-your-writes read wait for a replica to catch up.
 	ReplicaWait Name = "replica-wait"
-	// StartupWait has callers wait for the configuration of a host that starts.
+	// StartupWait lets callers wait until a starting host has its configuration.
 	StartupWait Name = "startup-wait"
-	// FleetWait has a host that starts wait until it knows the others.
+	// FleetWait lets a starting host wait until it knows the other hosts.
 	FleetWait Name = "fleet-wait"
-	// HedgedListing asks a silent store again while nothing is known.
+	// HedgedListing hedges the initial listing if the store does not answer.
 	HedgedListing Name = "hedged-listing"
-	// GateWatch gives up what was sent to a gate that is silent.
+	// GateWatch cancels statements that were sent to an unresponsive gate.
 	GateWatch Name = "gate-watch"
-	// Reclaim rolls back transactions that rest while others wait.
+	// Reclaim rolls back idle transactions while statements wait for a connection.
 	Reclaim Name = "reclaim"
-	// ShortFirst lets short statements pass dear ones.
+	// ShortFirst queues short statements ahead of expensive ones.
 	ShortFirst Name = "short-first"
-	// Detours sends statements around a cut.
+	// Detours routes statements through hosts that still reach a member when this
+	// host does not.
 	Detours Name = "detours"
-	// StandingLeader leads promotions with the token that is held already.
+	// StandingLeader lets the holder of the promotion lock start a promotion with the
+	// fencing token it already holds.
 	StandingLeader Name = "standing-leader"
-	// DirectVotes agrees on a loss by datagram, before the store is told.
+	// DirectVotes collects votes on the loss of a primary by datagram, without waiting
+	// for the store.
 	DirectVotes Name = "direct-votes"
-	// ObservedSilence judges silence by what is usual for a member.
+	// ObservedSilence derives the silence timeout of a member from its recent pauses.
 	ObservedSilence Name = "observed-silence"
-	// TeamGates has a team's statements for a member meet at one of its gates.
+	// TeamGates sends all statements of a team for a member to the same gate.
 	TeamGates Name = "team-gates"
-	// TeamReplicas has a team's reads prefer one replica of a group.
+	// TeamReplicas prefers the same replica of a group for all reads of a team.
 	TeamReplicas Name = "team-replicas"
-	// Announcement tells all hosts of a promotion.
+	// Announcement broadcasts each promotion to all hosts.
 	Announcement Name = "announcement"
 )
 
-// All returns all names, in the order of the table above.
+// All returns all names in declaration order.
 func All() []Name {
 	return []Name{
 		Gates, Relays, PeerFloors, RefusalFloors, GateFloors, ReplicaWait, StartupWait, FleetWait, HedgedListing, GateWatch, Reclaim,
@@ -62,17 +67,17 @@
 	}
 }
 
-// Without is what a host is run without. The zero value leaves nothing out.
-type Without map[Name]bool
+// Disabled is the set of disabled mechanisms. The zero value disables none.
+type Disabled map[Name]bool
 
-// Has reports whether the host has a mechanism.
-func (w Without) Has(n Name) bool { return !w[n] }
+// Enabled reports whether a mechanism is enabled.
+func (d Disabled) Enabled(n Name) bool { return !d[n] }
 
-// Names returns what is left out, in order.
-func (w Without) Names() []string {
+// Names returns the disabled mechanisms in sorted order.
+func (d Disabled) Names() []string {
 	var out []string
-	for n, left := range w {
-		if left {
+	for n, disabled := range d {
+		if disabled {
 			out = append(out, string(n))
 		}
 	}
@@ -80,7 +85,7 @@
 	return out
 }
 
-// UnknownError is a name that no mechanism has.
+// UnknownError reports a name that no mechanism has.
 type UnknownError struct{ Name string }
 
 func (e *UnknownError) Error() string {
@@ -88,17 +93,17 @@
 	for _, n := range All() {
 		known = append(known, string(n))
 	}
-	return fmt.Sprintf("there is no mechanism %q; there are %s", e.Name, strings.Join(known, ", "))
+	return fmt.Sprintf("unknown mechanism %q; known mechanisms: %s", e.Name, strings.Join(known, ", "))
 }
 
-// Parse reads names of mechanisms to leave out. An error is an *UnknownError.
-func Parse(names []string) (Without, error) {
-	w := Without{}
+// Parse parses the names of mechanisms to disable. Its error is an *UnknownError.
+func Parse(names []string) (Disabled, error) {
+	d := Disabled{}
 	for _, name := range names {
 		if !slices.Contains(All(), Name(name)) {
 			return nil, &UnknownError{Name: name}
 		}
-		w[Name(name)] = true
+		d[Name(name)] = true
 	}
-	return w, nil
+	return d, nil
 }
--- a/core/mechanism/mechanism_test.go
+++ b/core/mechanism/mechanism_test.go
@@ -8,20 +8,20 @@
 	"github.com/dotterelswitch/dotterelswitch/core/mechanism"
 )
 
-func TestNothingIsLeftOutUnlessNamed(t *testing.T) {
-	for _, w := range []mechanism.Without{nil, {}} {
+func TestOnlyNamedMechanismsAreDisabled(t *testing.T) {
+	for _, d := range []mechanism.Disabled{nil, {}} {
 		for _, n := range mechanism.All() {
-			require.True(t, w.Has(n))
+			require.True(t, d.Enabled(n))
 		}
 	}
-	w, err := mechanism.Parse([]string{"gates", "detours", "gates"})
+	d, err := mechanism.Parse([]string{"gates", "detours", "gates"})
 	require.NoError(t, err)
-	require.False(t, w.Has(mechanism.Gates))
-	require.True(t, w.Has(mechanism.Relays))
-	require.Equal(t, []string{"detours", "gates"}, w.Names())
+	require.False(t, d.Enabled(mechanism.Gates))
+	require.True(t, d.Enabled(mechanism.Relays))
+	require.Equal(t, []string{"detours", "gates"}, d.Names())
 }
 
-func TestUnknownNameIsRefused(t *testing.T) {
+func TestParseRejectsUnknownName(t *testing.T) {
 	_, err := mechanism.Parse([]string{"gates", "gate"})
 	var unknown *mechanism.UnknownError
 	require.ErrorAs(t, err, &unknown)
--- a/core/outcome/code.go
+++ b/core/outcome/code.go
@@ -1,12 +1,12 @@
-// Package outcome is the vocabulary of failures that a caller can see. Every
-// refusal states whether the request ran and whether it may be repeated; the
-// table in docs/OUTCOMES.md is held against this package by a test.
+// Package outcome defines the errors that are returned to callers. Each error code
+// states whether the request was executed and whether it may be retried. A test
+// compares the codes with the table in docs/OUTCOMES.md.
 package outcome
 
-// Ran states whether a request took effect.
+// Ran states whether a request was executed.
 type Ran uint8
 
-// The three answers to "did it run".
+// The values of Ran.
 const (
 	RanNo Ran = iota
 	RanYes
@@ -24,10 +24,10 @@
 	}
 }
 
-// Code names one kind of failure.
+// Code is an error code that callers see.
 type Code uint8
 
-// The failures, in the order of the table in the docs.
+// The codes, in the order of the table in docs/OUTCOMES.md.
 const (
 	OK Code = iota
 	NoPrimary
@@ -51,13 +51,13 @@
 	TooManyConnections
 	TransactionLost
 	Unauthorized
-	codeCount
+	numCodes
 )
 
-// Codes returns every failure, in order.
+// Codes returns all codes but OK, in order.
 func Codes() []Code {
-	all := make([]Code, 0, codeCount-1)
-	for c := OK + 1; c < codeCount; c++ {
+	all := make([]Code, 0, numCodes-1)
+	for c := OK + 1; c < numCodes; c++ {
 		all = append(all, c)
 	}
 	return all
@@ -68,12 +68,12 @@
 	Name     string
 	SQLState string
 	Ran      Ran
-	// Retry reports whether the caller may send the request again as it is.
+	// Retry reports whether the caller may retry the unchanged request.
 	Retry   bool
 	Meaning string
 }
 
-var infos = [codeCount]Info{
+var infos = [numCodes]Info{
 	OK:                  {"ok", "00000", RanYes, false, "the request succeeded"},
 	NoPrimary:           {"no_primary", "57P03", RanNo, true, "no primary could be reached before the deadline"},
 	QueueFull:           {"queue_full", "53400", RanNo, true, "the queue of the upstream is full"},
@@ -98,9 +98,8 @@
 	Unauthorized:        {"unauthorized", "28P01", RanNo, false, "the team does not hold the key"},
 }
 
-// Info returns the description of c.
 func (c Code) Info() Info {
-	if c >= codeCount {
+	if c >= numCodes {
 		return Info{Name: "invalid", SQLState: "XX000", Ran: RanUnknown}
 	}
 	return infos[c]
--- a/core/outcome/outcome_test.go
+++ b/core/outcome/outcome_test.go
@@ -12,19 +12,19 @@
 	"github.com/dotterelswitch/dotterelswitch/core/outcome"
 )
 
-// row is the line of docs/OUTCOMES.md for a code.
-func row(c outcome.Code) string {
+// tableRow returns the table row of docs/OUTCOMES.md for a code.
+func tableRow(c outcome.Code) string {
 	i := c.Info()
 	return fmt.Sprintf("| %s | %s | %s | %t | %s |", i.Name, i.SQLState, i.Ran, i.Retry, i.Meaning)
 }
 
-func TestTableInTheDocs(t *testing.T) {
+func TestDocsTableMatchesCodes(t *testing.T) {
 	data, err := os.ReadFile("../../docs/OUTCOMES.md")
 	require.NoError(t, err)
 	lines := strings.Split(string(data), "\n")
 	var want []string
 	for _, c := range outcome.Codes() {
-		want = append(want, row(c))
+		want = append(want, tableRow(c))
 	}
 	var got []string
 	for _, line := range lines {
@@ -35,11 +35,11 @@
 	require.Equal(t, want, got)
 }
 
-func TestNotRunIsNeverSaidOfAnUnknownOutcome(t *testing.T) {
+func TestNotRunAndRetryExcludeUnknownOutcomes(t *testing.T) {
 	for _, c := range outcome.Codes() {
-		r := outcome.Refuse(c, "x").After(time.Second)
+		r := outcome.Refuse(c, "x").WithRetryAfter(time.Second)
 		require.Equal(t, c.Info().Ran == outcome.RanNo, r.NotRun())
 		require.Len(t, c.Info().SQLState, 5, c)
-		require.False(t, c.Info().Ran == outcome.RanUnknown && c.Info().Retry, "%s: an unknown outcome must not be repeated blindly", c)
+		require.False(t, c.Info().Ran == outcome.RanUnknown && c.Info().Retry, "%s: a request with an unknown outcome must not be retried", c)
 	}
 }
--- a/core/outcome/refusal.go
+++ b/core/outcome/refusal.go
@@ -5,24 +5,25 @@
 	"time"
 )
 
-// Refusal is the error that a layer returns in place of an answer.
+// Refusal is the error of a request that was refused or failed.
 type Refusal struct {
 	Code   Code
 	Detail string
-	// RetryAfter tells the caller when to come back; zero means at once.
+	// RetryAfter is how long the caller should wait before a retry; zero means no
+	// delay.
 	RetryAfter time.Duration
 }
 
-// Refuse returns a *Refusal with a formatted detail.
+// Refuse returns a Refusal with a formatted detail.
 func Refuse(code Code, format string, args ...any) *Refusal {
 	return &Refusal{Code: code, Detail: fmt.Sprintf(format, args...)}
 }
 
-// After returns a copy of r that asks the caller to wait for d.
-func (r *Refusal) After(d time.Duration) *Refusal {
-	next := *r
-	next.RetryAfter = d
-	return &next
+// WithRetryAfter returns a copy of r with the given retry delay.
+func (r *Refusal) WithRetryAfter(d time.Duration) *Refusal {
+	delayed := *r
+	delayed.RetryAfter = d
+	return &delayed
 }
 
 func (r *Refusal) Error() string {
@@ -33,5 +34,5 @@
 	return info.Meaning + ": " + r.Detail
 }
 
-// NotRun reports whether the request certainly did not run.
+// NotRun reports whether the request is known not to have been executed.
 func (r *Refusal) NotRun() bool { return r.Code.Info().Ran == RanNo }
--- a/core/retry/backoff.go
+++ b/core/retry/backoff.go
@@ -5,22 +5,22 @@
 	"time"
 )
 
-// Backoff spaces attempts: each wait is drawn uniformly from zero to a ceiling
-// that doubles ("full jitter"), so that requests that failed together do not
-// return together.
+// Backoff computes exponential backoff with full jitter: each delay is drawn
+// uniformly between zero and a limit that doubles with each attempt, so that requests
+// that failed together are not retried together.
 type Backoff struct {
 	Base time.Duration
 	Max  time.Duration
 }
 
-// maxDoublings keeps the shift below from overflowing.
+// maxDoublings prevents the shift in Delay from overflowing.
 const maxDoublings = 20
 
-// Wait returns the pause before the given retry, counted from zero.
-func (b Backoff) Wait(attempt int, rng *rand.Rand) time.Duration {
-	ceiling := min(b.Base<<min(attempt, maxDoublings), b.Max)
-	if ceiling <= 0 {
+// Delay returns the delay before the given retry, counted from zero.
+func (b Backoff) Delay(attempt int, rng *rand.Rand) time.Duration {
+	limit := min(b.Base<<min(attempt, maxDoublings), b.Max)
+	if limit <= 0 {
 		return 0
 	}
-	return time.Duration(rng.Int64N(int64(ceiling))) + 1
+	return time.Duration(rng.Int64N(int64(limit))) + 1
 }
--- a/core/retry/budget.go
+++ b/core/retry/budget.go
@@ -1,26 +1,26 @@
-// Package retry limits and spaces repeated attempts.
+// Package retry implements retry budgets and exponential backoff.
 package retry
 
-// Budget is a token bucket fed by first attempts: retries may be at most a
-// fixed ratio of them, plus a small reserve, so that a failing upstream is not
-// met with several times its load. It is not safe for concurrent use.
+// Budget is a token bucket that limits retries to a fixed ratio of first attempts
+// plus a small reserve, so that retries do not multiply the load of a failing
+// upstream. It is not safe for concurrent use.
 type Budget struct {
 	ratio   float64
 	reserve float64
 	tokens  float64
 }
 
-// NewBudget returns a budget that allows ratio retries for each first attempt
-// and holds at most reserve unused ones.
+// NewBudget returns a full budget that gains ratio tokens for each first attempt and
+// holds at most reserve tokens.
 func NewBudget(ratio, reserve float64) *Budget {
 	return &Budget{ratio: ratio, reserve: reserve, tokens: reserve}
 }
 
-// Attempt notes a first attempt.
-func (b *Budget) Attempt() { b.tokens = min(b.tokens+b.ratio, b.reserve) }
+// RecordAttempt credits the budget for a first attempt.
+func (b *Budget) RecordAttempt() { b.tokens = min(b.tokens+b.ratio, b.reserve) }
 
-// Retry reports whether one more retry is allowed, and takes it if so.
-func (b *Budget) Retry() bool {
+// TryRetry consumes a token and returns true if a retry is allowed.
+func (b *Budget) TryRetry() bool {
 	if b.tokens < 1 {
 		return false
 	}
--- a/core/retry/retry_test.go
+++ b/core/retry/retry_test.go
@@ -10,16 +10,14 @@
 	"github.com/dotterelswitch/dotterelswitch/core/retry"
 )
 
-// TestBudgetBoundsRetries checks that retries stay below the ratio plus the
-// reserve, however many fail.
 func TestBudgetBoundsRetries(t *testing.T) {
 	const attempts, reserve = 10_000, 20
-	b := retry.NewBudget(0.1, reserve)
+	budget := retry.NewBudget(0.1, reserve)
 	retries := 0
 	for range attempts {
-		b.Attempt()
+		budget.RecordAttempt()
 		for range 3 {
-			if b.Retry() {
+			if budget.TryRetry() {
 				retries++
 			}
 		}
@@ -28,18 +26,18 @@
 	require.GreaterOrEqual(t, retries, attempts/10-1)
 }
 
-func TestBackoffIsBoundedAndSpread(t *testing.T) {
+func TestBackoffIsBoundedAndJittered(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 2))
-	b := retry.Backoff{Base: 4 * time.Millisecond, Max: 60 * time.Millisecond}
+	backoff := retry.Backoff{Base: 4 * time.Millisecond, Max: 60 * time.Millisecond}
 	seen := map[time.Duration]bool{}
 	for attempt := range 100 {
-		wait := b.Wait(attempt, rng)
-		require.Positive(t, wait)
-		require.LessOrEqual(t, wait, b.Max)
+		delay := backoff.Delay(attempt, rng)
+		require.Positive(t, delay)
+		require.LessOrEqual(t, delay, backoff.Max)
 		if attempt == 0 {
-			require.LessOrEqual(t, wait, b.Base)
+			require.LessOrEqual(t, delay, backoff.Base)
 		}
-		seen[wait] = true
+		seen[delay] = true
 	}
-	require.Greater(t, len(seen), 90, "waits are spread")
+	require.Greater(t, len(seen), 90, "delays must be jittered")
 }
--- a/core/session/session.go
+++ b/core/session/session.go
@@ -65,7 +65,7 @@
 		return st, true
 	}
 	shape, found := s.prepared[st.Name]
-	return st.Prepared(shape), found
+	return st.WithShape(shape), found
 }
 
 // Local answers the statements that need no upstream. It reports whether it
@@ -99,7 +99,7 @@
 }
 
 func (s *Session) refuse(code statement.Code, detail string) statement.Answer {
-	return statement.Refuse(code, detail, s.State)
+	return statement.ErrorAnswer(code, detail, s.State)
 }
 
 // inFailed accepts only the end of a failed transaction. Nothing of it was
--- a/core/statement/answer.go
+++ b/core/statement/answer.go
@@ -2,56 +2,57 @@
 
 import "github.com/dotterelswitch/dotterelswitch/core/logpos"
 
-// TxState is the state of a transaction after an answer.
+// TxState is the transaction state of a session after a statement.
 type TxState uint8
 
-// The states.
+// The transaction states.
 const (
 	// Idle means that no transaction is open.
 	Idle TxState = iota
-	// Open means that a transaction is open.
+	// Open means that a transaction is in progress.
 	Open
-	// Failed means that a transaction failed and only its end is accepted.
+	// Failed means that a statement of the open transaction failed, so that only its
+	// end is accepted.
 	Failed
 )
 
-// Code is the kind of a failure, as callers and upstreams name it.
+// Code is the result code of a statement.
 type Code uint8
 
-// The codes. Busy to UnknownStatement promise that nothing of the attempt is
-// kept; the others promise nothing.
+// The codes. Busy to UnknownStatement guarantee that the attempt had no effect; the
+// later codes do not.
 const (
-	// OK means success.
+	// OK means that the statement succeeded.
 	OK Code = iota
-	// Busy means that there was no room.
+	// Busy means that the statement was refused for lack of capacity.
 	Busy
 	// Aborted means that the transaction was rolled back.
 	Aborted
-	// Behind means that a log lacks the position that was asked for.
+	// Behind means that the member has not applied the required log position.
 	Behind
-	// ReadOnlyMember means that the member is not the primary.
+	// ReadOnlyMember means that the member is not the primary and cannot write.
 	ReadOnlyMember
-	// TooManyConnections means that the member's connections are all in use.
+	// TooManyConnections means that the member's connection limit is reached.
 	TooManyConnections
-	// WrongMember means that another member or service has this address.
+	// WrongMember means that another member or service answers at the address.
 	WrongMember
-	// UnknownStatement means that the connection lacks the prepared name.
+	// UnknownStatement means that the connection lacks the prepared statement.
 	UnknownStatement
 	// Failure means that the statement ran and failed.
 	Failure
-	// TimedOut means that the statement may have run and took too long.
+	// TimedOut means that the statement timed out and may have run.
 	TimedOut
-	// InDoubt means that it is not known whether a write was kept.
+	// InDoubt means that it is unknown whether a write was committed.
 	InDoubt
-	// UnknownDatabase means that no route has this name.
+	// UnknownDatabase means that no route has the database name.
 	UnknownDatabase
-	// TooLarge means that a message is above the size limit.
+	// TooLarge means that a message exceeds the size limit.
 	TooLarge
-	// Invalid means that a message has no meaning where it was sent.
+	// Invalid means that a message is malformed or not allowed in the current state.
 	Invalid
-	// Unauthorized means that the caller may not do this.
+	// Unauthorized means that the caller lacks the permission.
 	Unauthorized
-	// Unrecognized is a code that this version does not know.
+	// Unrecognized stands for a code that this version does not know.
 	Unrecognized
 )
 
@@ -63,20 +64,20 @@
 
 func (c Code) String() string { return codeNames[c] }
 
-// Answer is the outcome of one statement.
+// Answer is the result of one statement.
 type Answer struct {
 	Rows []string
-	// Signature proves which upstream ran the statement; empty when the
-	// system answered by itself.
+	// Signature identifies the upstream that ran the statement; empty for an answer of
+	// the proxy itself.
 	Signature string
 	Code      Code
-	// Detail explains a code to a person.
+	// Detail is a human-readable explanation of the code.
 	Detail   string
 	State    TxState
 	Position logpos.Position
 }
 
-// Refuse returns an answer that is only a code.
-func Refuse(code Code, detail string, state TxState) Answer {
+// ErrorAnswer returns an answer without rows.
+func ErrorAnswer(code Code, detail string, state TxState) Answer {
 	return Answer{Code: code, Detail: detail, State: state}
 }
--- a/core/statement/operation.go
+++ b/core/statement/operation.go
@@ -2,66 +2,66 @@
 
 import "github.com/dotterelswitch/dotterelswitch/core/logpos"
 
-// Verb is what an upstream is asked to do.
+// Verb is the type of an Operation.
 type Verb uint8
 
 // The verbs.
 const (
-	// Forward passes a caller's statement on unchanged.
+	// Forward sends a caller's statement unchanged.
 	Forward Verb = iota
-	// Start opens a transaction on behalf of a caller.
-	Start
-	// Undo rolls a transaction back.
-	Undo
-	// Assign sets a session value.
-	Assign
-	// Define prepares a shape under a name.
-	Define
-	// RunDefined executes a prepared name with a caller's arguments.
-	RunDefined
-	// Clear drops all session values and prepared names.
-	Clear
-	// ReportStatus asks for a Status.
+	// StartTransaction opens a transaction on behalf of a caller.
+	StartTransaction
+	// RollbackTransaction rolls back the open transaction.
+	RollbackTransaction
+	// SetParameter sets a session parameter.
+	SetParameter
+	// PrepareStatement creates a prepared statement.
+	PrepareStatement
+	// ExecutePrepared executes a prepared statement with a caller's arguments.
+	ExecutePrepared
+	// ResetSession discards all session parameters and prepared statements.
+	ResetSession
+	// ReportStatus requests the Status of a member.
 	ReportStatus
-	// PauseReplication makes a replica stop receiving, for an election.
+	// PauseReplication makes a replica stop receiving the log during a failover.
 	PauseReplication
 	// ResumeReplication undoes PauseReplication.
 	ResumeReplication
-	// StepDown makes a primary of an older term a replica.
+	// StepDown demotes a primary of an older term to a replica.
 	StepDown
 )
 
-// Operation is one message to an upstream.
+// Operation is one request to an upstream.
 type Operation struct {
 	Verb Verb
-	// ID is the caller's identifier; empty on the system's own operations.
+	// ID is the caller's request identifier; empty for operations of the proxy itself.
 	ID string
-	// Text is the caller's statement for Forward and its arguments for
-	// RunDefined.
+	// Text is the caller's statement for Forward and the arguments for
+	// ExecutePrepared.
 	Text string
-	// After makes a read or the start of a transaction fail unless the log
-	// holds this position; zero asks for nothing.
-	After logpos.Position
-	// ReadOnly is for Start.
+	// MinPosition is the log position that a member must have applied to run a read or
+	// start a transaction; zero means no requirement.
+	MinPosition logpos.Position
+	// ReadOnly declares a StartTransaction read-only.
 	ReadOnly bool
-	// Name is a session value or a prepared name.
+	// Name is the name of a session parameter or of a prepared statement.
 	Name  string
 	Value string
 	Shape Shape
 	Term  logpos.Term
 }
 
-// Status is what a member reports of itself.
+// Status is a member's answer to ReportStatus.
 type Status struct {
 	Primary bool
-	// Term is the newest term that the member knows.
+	// Term is the latest term that the member knows.
 	Term logpos.Term
-	// Received is the end of the member's log, applied or not.
+	// Received is the end of the member's received log, applied or not.
 	Received logpos.Position
-	// HeldTerm is the term that a PauseReplication named; zero for none.
-	HeldTerm logpos.Term
-	// LagMillis is how far, in milliseconds, what it applied is behind.
+	// PausedTerm is the term for which replication is paused; zero if it is not.
+	PausedTerm logpos.Term
+	// LagMillis is the replication lag of the applied log in milliseconds.
 	LagMillis   int
-	Busy        int
+	BusySlots   int
 	Connections int
 }
--- a/core/statement/statement.go
+++ b/core/statement/statement.go
@@ -1,32 +1,32 @@
-// Package statement holds what callers ask for and what upstreams answer, free
-// of any wire format. An adapter for a caller protocol decodes bytes into a
-// Statement; an adapter for an upstream protocol encodes an Operation.
+// Package statement defines the requests of callers and the answers of upstreams,
+// independent of any wire format. A caller protocol decodes bytes into a Statement; an
+// upstream protocol encodes an Operation.
 package statement
 
-// Kind says what a statement does.
+// Kind is the type of a Statement.
 type Kind uint8
 
 // The kinds of statements.
 const (
-	// Malformed is a message that no rule of the protocol allows.
+	// Malformed is a statement that violates the protocol.
 	Malformed Kind = iota
-	// Begin opens a transaction; ReadOnly tells which sort.
+	// Begin opens a transaction, which ReadOnly may declare read-only.
 	Begin
-	// Commit ends a transaction and keeps its writes.
+	// Commit commits a transaction.
 	Commit
-	// Rollback ends a transaction and drops its writes.
+	// Rollback rolls back a transaction.
 	Rollback
 	// Read fetches one item.
 	Read
 	// Write stores one item.
 	Write
-	// Set changes a session value.
+	// Set sets a session parameter.
 	Set
-	// Prepare names a statement shape for the rest of the session.
+	// Prepare creates a prepared statement for the rest of the session.
 	Prepare
-	// Execute runs a prepared shape.
+	// Execute runs a prepared statement.
 	Execute
-	// Deallocate forgets a prepared name.
+	// Deallocate drops a prepared statement.
 	Deallocate
 )
 
@@ -34,37 +34,35 @@
 
 func (k Kind) String() string { return kindNames[k] }
 
-// Shape is what a prepared name stands for.
+// Shape is the definition of a prepared statement.
 type Shape struct {
-	// Write tells a prepared write from a prepared read.
+	// Write is set for a write and unset for a read.
 	Write bool
-	// Text is the shape itself; two names with equal shapes run alike.
+	// Text is the statement without its arguments.
 	Text string
 }
 
 // Statement is one request of a caller.
 type Statement struct {
 	Kind Kind
-	// ID is the caller's identifier of the request. It is passed on unchanged.
+	// ID is the caller's request identifier. It is forwarded unchanged.
 	ID string
-	// Text is the statement as the caller wrote it, for kinds that are passed
-	// on unchanged.
+	// Text is the original text of a statement that is forwarded unchanged.
 	Text string
-	// ReadOnly is set on a Begin that announces no writes.
+	// ReadOnly is set for a Begin that declares the transaction read-only.
 	ReadOnly bool
-	// Name is the session value or the prepared statement that is meant.
+	// Name is the name of a session parameter or of a prepared statement.
 	Name string
-	// Value is the new session value, or the arguments of an Execute.
+	// Value is the new value of a session parameter, or the arguments of an Execute.
 	Value string
-	// Shape is set on a Prepare.
+	// Shape is set for a Prepare, and for an Execute by WithShape.
 	Shape Shape
-	// Problem says what is wrong with a Malformed statement.
+	// Problem describes why a statement is Malformed.
 	Problem string
 }
 
-// Prepared returns the statement with the shape that its name stands for: an
-// Execute turned into a read or a write.
-func (s Statement) Prepared(shape Shape) Statement {
+// WithShape returns a copy of an Execute with the shape of its prepared statement.
+func (s Statement) WithShape(shape Shape) Statement {
 	s.Shape = shape
 	return s
 }
@@ -74,32 +72,31 @@
 	return s.Kind == Write || (s.Kind == Execute && s.Shape.Write)
 }
 
-// Reads reports whether the statement fetches data.
+// Reads reports whether the statement only reads data.
 func (s Statement) Reads() bool {
 	return s.Kind == Read || (s.Kind == Execute && !s.Shape.Write)
 }
 
-// MessageKind says what a caller's message is.
+// MessageKind is the type of a Message.
 type MessageKind uint8
 
 // The kinds of messages.
 const (
 	// Query carries a Statement.
 	Query MessageKind = iota
-	// Login opens a session on a database.
+	// Login opens a session for a database.
 	Login
-	// Goodbye ends the session.
-	Goodbye
-	// Garbage is a message that the protocol does not know.
-	Garbage
+	// Terminate ends the session.
+	Terminate
+	// UnknownMessage is a message that the protocol does not define.
+	UnknownMessage
 )
 
-// Message is one message of a caller.
+// Message is one decoded message of a caller.
 type Message struct {
 	Kind      MessageKind
 	Statement Statement
-	// Database and Key belong to a Login; Key is what the caller proves itself
-	// with.
+	// Database and Key are set for a Login. Key is the caller's API key.
 	Database string
 	Key      string
 }
--- a/node/cmd/dotterelswitch/platform.go
+++ b/node/cmd/dotterelswitch/platform.go
@@ -132,7 +132,7 @@
 	})
 }
 
-func entrySettings(s platformSettings, boot platform.Boot, without mechanism.Without) entry.Settings {
+func entrySettings(s platformSettings, boot platform.Boot, without mechanism.Disabled) entry.Settings {
 	out := entry.Settings{
 		Host: boot.Host, Places: replicaset.Places{Zone: boot.Zone, Regions: boot.Regions},
 		CallerAddress: boot.CallerAddress, ReadyAddress: boot.ReadyAddress,
--- a/node/edge/caller.go
+++ b/node/edge/caller.go
@@ -143,7 +143,7 @@
 // handle runs one message; it reports whether the session goes on.
 func (s *caller) handle(a arrival) bool {
 	switch a.message.Kind {
-	case statement.Goodbye:
+	case statement.Terminate:
 		return false
 	case statement.Login:
 		return s.login(a.message)
--- a/node/edge/query.go
+++ b/node/edge/query.go
@@ -45,7 +45,7 @@
 	record.Statement = st
 	route, found := c.Route(s.state.Database)
 	if found && !s.admit(c, route) && st.Kind != statement.Rollback {
-		return replicaset.Outcome{Answer: s.failWith(st, statement.Refuse(statement.Unauthorized, "no team holds this session's key any more", statement.Idle))}
+		return replicaset.Outcome{Answer: s.failWith(st, statement.ErrorAnswer(statement.Unauthorized, "no team holds this session's key any more", statement.Idle))}
 	}
 	if answer, local := s.state.Local(st); local {
 		if st.Kind == statement.Rollback && s.state.State == statement.Idle {
@@ -54,10 +54,10 @@
 		return replicaset.Outcome{Answer: answer}
 	}
 	if !known {
-		return replicaset.Outcome{Answer: s.failStatement(statement.Refuse(statement.Invalid, "no statement is prepared under this name", statement.Idle))}
+		return replicaset.Outcome{Answer: s.failStatement(statement.ErrorAnswer(statement.Invalid, "no statement is prepared under this name", statement.Idle))}
 	}
 	if !found {
-		return replicaset.Outcome{Answer: s.failStatement(statement.Refuse(statement.UnknownDatabase, "the route was removed", statement.Idle))}
+		return replicaset.Outcome{Answer: s.failStatement(statement.ErrorAnswer(statement.UnknownDatabase, "the route was removed", statement.Idle))}
 	}
 	record.Route = route
 	return s.runRemote(st, route, a.at)
@@ -109,7 +109,7 @@
 	w := s.newWork(st, route, arrived)
 	set := s.gateway.backend.AwaitSet(s.ctx, route.Service, w.StartBy)
 	if set == nil {
-		return replicaset.Outcome{Answer: s.failStatement(statement.Refuse(statement.Busy, "no member of the service is known", statement.Idle))}
+		return replicaset.Outcome{Answer: s.failStatement(statement.ErrorAnswer(statement.Busy, "no member of the service is known", statement.Idle))}
 	}
 	if s.tx != nil {
 		return s.inTransaction(set, w)
@@ -141,7 +141,7 @@
 // refuseOperation refuses an operation beyond the team's limit. Nothing of it was
 // sent to a member.
 func (s *caller) refuseOperation(st statement.Statement, retryAfter time.Duration) replicaset.Outcome {
-	a := s.failWith(st, statement.Refuse(statement.Busy, replicaset.RetryHint(retryAfter), statement.Idle))
+	a := s.failWith(st, statement.ErrorAnswer(statement.Busy, replicaset.RetryHint(retryAfter), statement.Idle))
 	return replicaset.Outcome{Answer: a, Cause: eventlog.ReasonQuota}
 }
 
--- a/node/entry/entry.go
+++ b/node/entry/entry.go
@@ -67,7 +67,7 @@
 	// Quota is how exactly the teams' limits are to be kept.
 	Quota quota.Tolerance
 	// Without is what the host is run without.
-	Without mechanism.Without
+	Without mechanism.Disabled
 }
 
 // Host is one running entry host.
--- a/node/entry/peers.go
+++ b/node/entry/peers.go
@@ -52,7 +52,7 @@
 		return replicaset.Result{Err: &replicaset.RefusedError{Reason: "the service is not known here"}}
 	}
 	res := s.Execute(ctx, j)
-	if h.settings.Without.Has(mechanism.RefusalFloors) {
+	if h.settings.Without.Enabled(mechanism.RefusalFloors) {
 		res.Floor, _ = s.Floor()
 	}
 	if res.Err == nil {
@@ -124,7 +124,7 @@
 
 // askPeers asks some other hosts for the floor of a service. It does not wait.
 func (h *Host) askPeers(service string) {
-	if !h.settings.Without.Has(mechanism.PeerFloors) {
+	if !h.settings.Without.Enabled(mechanism.PeerFloors) {
 		return
 	}
 	for _, address := range h.floorSources(service) {
--- a/node/entry/startup.go
+++ b/node/entry/startup.go
@@ -19,7 +19,7 @@
 
 // AwaitCatalog implements edge.Backend.
 func (h *Host) AwaitCatalog(ctx context.Context) *catalog.Catalog {
-	if !h.settings.Without.Has(mechanism.StartupWait) {
+	if !h.settings.Without.Enabled(mechanism.StartupWait) {
 		return h.registry.Catalog()
 	}
 	return awaitStartup(ctx, startup.LoginUntil(h.startedAt, clock.Now()), h.registry.Catalog)
@@ -45,7 +45,7 @@
 // members' connections with them. While they are not, statements wait for their
 // group, and the sets are looked at again when they should be.
 func (h *Host) knowsFleet(hosts []gates.Host) bool {
-	if h.fleetKnown || !h.settings.Without.Has(mechanism.FleetWait) {
+	if h.fleetKnown || !h.settings.Without.Enabled(mechanism.FleetWait) {
 		return true
 	}
 	now := clock.Now()
--- a/node/owner/execute.go
+++ b/node/owner/execute.go
@@ -117,7 +117,7 @@
 	}
 	if req.MayCommit && p.stalled() {
 		p.leave(0)
-		return request.Refused(outcome.Refuse(outcome.ReplicationStalled, "upstream %s", p.spec.Name).After(stallPause))
+		return request.Refused(outcome.Refuse(outcome.ReplicationStalled, "upstream %s", p.spec.Name).WithRetryAfter(stallPause))
 	}
 	started := time.Now()
 	conn, refusal := p.take(ctx)
--- a/node/owner/pool.go
+++ b/node/owner/pool.go
@@ -98,9 +98,9 @@
 func (p *pool) verdictRefusal(v admit.Verdict) *outcome.Refusal {
 	switch v {
 	case admit.Full:
-		return outcome.Refuse(outcome.QueueFull, "upstream %s", p.spec.Name).After(p.backlog())
+		return outcome.Refuse(outcome.QueueFull, "upstream %s", p.spec.Name).WithRetryAfter(p.backlog())
 	case admit.Late:
-		return outcome.Refuse(outcome.DeadlineBeforeStart, "upstream %s", p.spec.Name).After(p.backlog())
+		return outcome.Refuse(outcome.DeadlineBeforeStart, "upstream %s", p.spec.Name).WithRetryAfter(p.backlog())
 	default:
 		return nil
 	}
--- a/node/promoter/detour.go
+++ b/node/promoter/detour.go
@@ -12,7 +12,7 @@
 // few to replace it; their callers would be refused until the cut heals, though
 // the primary works.
 func (p *Promoter) detour(failed string, now time.Duration) {
-	if failed == "" || failed == noMember || !p.without.Has(mechanism.Detours) {
+	if failed == "" || failed == noMember || !p.without.Enabled(mechanism.Detours) {
 		return
 	}
 	p.mu.Lock()
--- a/node/promoter/evidence.go
+++ b/node/promoter/evidence.go
@@ -127,7 +127,7 @@
 	p.mu.Lock()
 	told := succession.Suspecting(p.opinions.Of(life, now))
 	p.mu.Unlock()
-	if !p.without.Has(mechanism.DirectVotes) {
+	if !p.without.Enabled(mechanism.DirectVotes) {
 		told = nil
 	}
 	for _, host := range p.registry.Suspecting(p.service, life) {
--- a/node/promoter/lead.go
+++ b/node/promoter/lead.go
@@ -24,7 +24,7 @@
 	opinions := p.opinions.Of(life, now)
 	p.mu.Unlock()
 	away := p.registry.Away()
-	able := !quiet && holds && p.without.Has(mechanism.StandingLeader) && succession.MayLead(p.host, lock, !away, opinions)
+	able := !quiet && holds && p.without.Enabled(mechanism.StandingLeader) && succession.MayLead(p.host, lock, !away, opinions)
 	p.leading.Store(able)
 	switch {
 	case able:
@@ -41,7 +41,7 @@
 	rank := p.rank(lock.Holder)
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	vacant := lock.Holder == "" || lock.Holder == p.host || !p.without.Has(mechanism.StandingLeader)
+	vacant := lock.Holder == "" || lock.Holder == p.host || !p.without.Enabled(mechanism.StandingLeader)
 	return succession.Turn(rank, vacant, p.readySince, p.leaderSeen)
 }
 
--- a/node/promoter/promoter.go
+++ b/node/promoter/promoter.go
@@ -77,7 +77,7 @@
 	peers    Peers
 	spec     func() catalog.Service
 	observe  func(Result)
-	without  mechanism.Without
+	without  mechanism.Disabled
 	log      zerolog.Logger
 
 	// wake has the group looked at now, and keep what the store is told of it.
@@ -135,7 +135,7 @@
 	// Observe is told of each promotion that this host has led.
 	Observe func(Result)
 	// Without is what the host is run without.
-	Without mechanism.Without
+	Without mechanism.Disabled
 	Log     zerolog.Logger
 }
 
--- a/node/promoter/replace.go
+++ b/node/promoter/replace.go
@@ -90,7 +90,7 @@
 				return asked, errRecovered
 			}
 			// An order of a term that the member knows already changes nothing.
-			stopped := r.Status.HeldTerm >= term || leading[r.ID]
+			stopped := r.Status.PausedTerm >= term || leading[r.ID]
 			if stopped && !r.Status.Primary {
 				reports = append(reports, r)
 			}
@@ -162,7 +162,7 @@
 	if err := p.awaitLead(ctx, chosen.ID); err != nil {
 		return err
 	}
-	if p.without.Has(mechanism.Announcement) {
+	if p.without.Enabled(mechanism.Announcement) {
 		p.peers.Announce(p.service, chosen.ID, p.set.Term())
 	}
 	eventlog.Promoted.Info(p.log).Str("upstream", chosen.ID).Uint64("token", token).
--- a/node/registry/registry.go
+++ b/node/registry/registry.go
@@ -53,7 +53,7 @@
 	wait time.Duration
 	// followHost follows another host; nil where hosts do not reach each other.
 	followHost FollowFunc
-	without    mechanism.Without
+	without    mechanism.Disabled
 	// askConfig asks another host for its configuration; nil where hosts do not reach
 	// each other.
 	askConfig AskConfigFunc
@@ -131,7 +131,7 @@
 	// AskConfig asks another host for its configuration; nil where hosts do not reach
 	// each other.
 	AskConfig AskConfigFunc
-	Without   mechanism.Without
+	Without   mechanism.Disabled
 	// Changed is called, without a lock, after changes.
 	Changed func()
 	Log     zerolog.Logger
@@ -144,7 +144,7 @@
 		wait = defaultWait
 	}
 	followHost := cfg.FollowHost
-	if !cfg.Without.Has(mechanism.Relays) {
+	if !cfg.Without.Enabled(mechanism.Relays) {
 		followHost = nil
 	}
 	return &Registry{
--- a/node/registry/run.go
+++ b/node/registry/run.go
@@ -70,7 +70,7 @@
 			continue
 		}
 		r.noteAway(err)
-		clock.Sleep(ctx, r.spacing(attempt, err).Wait(attempt, rng))
+		clock.Sleep(ctx, r.spacing(attempt, err).Delay(attempt, rng))
 		attempt++
 	}
 }
@@ -113,7 +113,7 @@
 	r.mu.Unlock()
 	if !listed {
 		list := r.listAll
-		if first && r.without.Has(mechanism.HedgedListing) {
+		if first && r.without.Enabled(mechanism.HedgedListing) {
 			list = r.listFirst
 		}
 		l, err := list(ctx)
--- a/node/replicaset/conn.go
+++ b/node/replicaset/conn.go
@@ -165,7 +165,7 @@
 		if have, found := c.values[name]; found && have == value {
 			continue
 		}
-		if err := c.own(statement.Operation{Verb: statement.Assign, Name: name, Value: value}, until); err != nil {
+		if err := c.own(statement.Operation{Verb: statement.SetParameter, Name: name, Value: value}, until); err != nil {
 			return err
 		}
 		c.values[name] = value
@@ -184,7 +184,7 @@
 }
 
 func (c *Conn) clear(until time.Duration) error {
-	if err := c.own(statement.Operation{Verb: statement.Clear}, until); err != nil {
+	if err := c.own(statement.Operation{Verb: statement.ResetSession}, until); err != nil {
 		return err
 	}
 	clear(c.values)
@@ -222,7 +222,7 @@
 	}
 	c.nextName++
 	name := "p" + strconv.Itoa(c.nextName)
-	if err := c.own(statement.Operation{Verb: statement.Define, Name: name, Shape: shape}, until); err != nil {
+	if err := c.own(statement.Operation{Verb: statement.PrepareStatement, Name: name, Shape: shape}, until); err != nil {
 		return "", err
 	}
 	c.names[shape] = name
--- a/node/replicaset/doubt_test.go
+++ b/node/replicaset/doubt_test.go
@@ -22,14 +22,14 @@
 	now := clock.Now()
 	m.failed(now, failureSilent)
 	require.True(t, m.Doubtful(now))
-	s.Tick(now + health.EvidenceLasts/2)
+	s.Tick(now + health.EvidenceTTL/2)
 	require.True(t, m.Doubtful(now))
-	s.Tick(now + health.EvidenceLasts)
+	s.Tick(now + health.EvidenceTTL)
 	require.False(t, m.Doubtful(now+time.Hour))
 
 	m.update(m.snapshot(), gates.Share{Limits: connpool.Limits{Max: 1, Fair: 1}})
 	require.True(t, s.probes(m))
 	m.failed(now, failureSilent)
-	s.Tick(now + health.EvidenceLasts)
-	require.True(t, m.Doubtful(now+health.EvidenceLasts))
+	s.Tick(now + health.EvidenceTTL)
+	require.True(t, m.Doubtful(now+health.EvidenceTTL))
 }
--- a/node/replicaset/execute.go
+++ b/node/replicaset/execute.go
@@ -76,7 +76,7 @@
 
 // elsewhere is the result of a job for a member that is not at its address.
 func elsewhere(waited time.Duration) Result {
-	return Result{Answer: statement.Refuse(statement.WrongMember, "another member answers at the address", statement.Idle), Waited: waited}
+	return Result{Answer: statement.ErrorAnswer(statement.WrongMember, "another member answers at the address", statement.Idle), Waited: waited}
 }
 
 // executeOn carries out a first step on a connection and returns it unless a
@@ -129,7 +129,7 @@
 func (s *Set) readGuarded(ctx context.Context, c *Conn, w Work) Result {
 	sent := clock.Now()
 	end := w.attemptEnd(sent)
-	a, err := c.Do(statement.Operation{Verb: statement.Start}, end)
+	a, err := c.Do(statement.Operation{Verb: statement.StartTransaction}, end)
 	if err != nil || a.Code != statement.OK {
 		c.member.release(c)
 		return Result{Answer: a, Err: err}
@@ -181,14 +181,14 @@
 
 // begin opens a transaction and keeps its connection.
 func (s *Set) begin(c *Conn, j Job) Result {
-	op := statement.Operation{Verb: statement.Start, ReadOnly: !j.Plain}
+	op := statement.Operation{Verb: statement.StartTransaction, ReadOnly: !j.Plain}
 	if !j.Plain {
 		floor, err := s.floorNow(j)
 		if err != nil {
 			c.member.release(c)
 			return Result{Err: err}
 		}
-		op.After = floor
+		op.MinPosition = floor
 	}
 	sent := clock.Now()
 	a, err := c.Do(op, j.Work.EndBy)
@@ -209,13 +209,13 @@
 // lostLog is the result of a step that a member must not take as the primary,
 // because it has started again without its log. Nothing of the caller was sent.
 func lostLog() Result {
-	return Result{Answer: statement.Refuse(statement.ReadOnlyMember, "the member has lost its log", statement.Idle)}
+	return Result{Answer: statement.ErrorAnswer(statement.ReadOnlyMember, "the member has lost its log", statement.Idle)}
 }
 
 // undo rolls back the transaction on a connection and returns it.
 func (s *Set) undo(c *Conn) {
 	if !c.broken && c.lastState != statement.Idle {
-		if _, err := c.Do(statement.Operation{Verb: statement.Undo}, clock.Now()+undoTimeout); err != nil {
+		if _, err := c.Do(statement.Operation{Verb: statement.RollbackTransaction}, clock.Now()+undoTimeout); err != nil {
 			s.log.Debug().Err(err).Msg("a rollback had no answer; the connection is closed")
 		}
 	}
--- a/node/replicaset/member.go
+++ b/node/replicaset/member.go
@@ -34,7 +34,7 @@
 	conns   map[connpool.ConnID]*Conn
 	waiters map[uint64]chan grant
 	nextID  uint64
-	health  health.Health
+	health  health.MemberDetector
 	answer  time.Duration
 	// times tells the kinds of statements, which are the databases, apart.
 	times   worktime.Times
@@ -72,7 +72,7 @@
 		log:  s.log.With().Str("upstream", e.ID).Logger(),
 		pool: connpool.New(share.Limits), share: share, conns: map[connpool.ConnID]*Conn{}, waiters: map[uint64]chan grant{},
 	}
-	m.health.TimeoutsOnly = !s.without.Has(mechanism.ObservedSilence)
+	m.health.TimeoutsOnly = !s.without.Enabled(mechanism.ObservedSilence)
 	return m
 }
 
@@ -104,7 +104,7 @@
 		ID: m.id, Primary: m.id == primary, RoundTrip: m.set.places.RoundTrip(m.entry.Zone),
 		Answer: m.answer, InUse: m.pool.InUse() + m.elsewhere, Waiting: m.pool.Waiting(),
 		Idle:  m.pool.Idle() > 0 || len(m.share.Gates) > 0,
-		Slots: m.entry.Slots, Suspect: m.health.Doubtful(now), Missing: m.entry.Missing,
+		Slots: m.entry.Slots, Suspect: m.health.Suspect(now), Missing: m.entry.Missing,
 	}
 }
 
--- a/node/replicaset/member_health.go
+++ b/node/replicaset/member_health.go
@@ -13,7 +13,7 @@
 func (m *Member) answered(sent, now time.Duration, a statement.Answer, kind string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.health.Answered(sent, now)
+	m.health.ResponseReceived(sent, now)
 	if a.Signature != "" {
 		m.pool.Ran(now - sent)
 		m.times.Ran(kind, now-sent, now)
@@ -25,28 +25,28 @@
 func (m *Member) asked(now time.Duration) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.health.Asked(now)
+	m.health.RequestSent(now)
 }
 
 // dialled notes that a connection to the member is tried.
 func (m *Member) dialled(now time.Duration) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.health.Dialled(now)
+	m.health.DialStarted(now)
 }
 
 // connected notes that a connection stands and that the login is sent.
 func (m *Member) connected(now time.Duration) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.health.Connected(now)
+	m.health.DialSucceeded(now)
 }
 
 // listens notes that the member's machine took a connection.
 func (m *Member) listens() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.health.Listens()
+	m.health.ProbeAccepted()
 }
 
 // failed notes an exchange without an answer.
@@ -55,11 +55,11 @@
 	was := m.health.Failing()
 	switch how {
 	case failureSilent:
-		m.health.Silent(sent)
+		m.health.ExchangeTimedOut(sent)
 	case failureRefused:
-		m.health.Refused(sent, clock.Now())
+		m.health.ConnectionRefused(sent, clock.Now())
 	default:
-		m.health.Broken(sent, clock.Now())
+		m.health.ConnectionBroken(sent, clock.Now())
 	}
 	now := m.health.Failing()
 	m.mu.Unlock()
@@ -141,7 +141,7 @@
 		return m.detours
 	case now < m.deadUntil && m.reached(now):
 		return nil
-	case team != "" && m.set.without.Has(mechanism.TeamGates):
+	case team != "" && m.set.without.Enabled(mechanism.TeamGates):
 		return m.share.RouteOf(team, m.id, m.set.host)
 	}
 	return m.share.Gates
@@ -178,14 +178,14 @@
 func (m *Member) Doubtful(now time.Duration) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.health.Doubtful(now)
+	return m.health.Suspect(now)
 }
 
 // expireDoubt ends a doubt for which there is no newer evidence.
 func (m *Member) expireDoubt(now time.Duration) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.health.Expire(now)
+	m.health.ExpireEvidence(now)
 }
 
 // refusing reports whether the member's machine refused the newest connection.
--- a/node/replicaset/member_pool.go
+++ b/node/replicaset/member_pool.go
@@ -53,7 +53,7 @@
 	now := clock.Now()
 	m.nextID++
 	w.ID = m.nextID
-	if m.set.without.Has(mechanism.ShortFirst) {
+	if m.set.without.Enabled(mechanism.ShortFirst) {
 		w.Extra = m.times.Extra(w.Kind, now)
 	}
 	d := m.pool.Acquire(*w, now)
@@ -178,7 +178,7 @@
 	m.mu.Lock()
 	now := clock.Now()
 	if refusedLogin {
-		m.health.Answered(sent, now)
+		m.health.ResponseReceived(sent, now)
 	}
 	m.pool.OpenFailed(team, crowded, now)
 	if !crowded {
@@ -201,7 +201,7 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	now := clock.Now()
-	m.health.Answered(sent, now)
+	m.health.ResponseReceived(sent, now)
 	m.conns[conn.id] = conn
 	w, found := m.pool.Opened(connpool.Conn{ID: conn.id, Team: conn.team}, now)
 	if found {
--- a/node/replicaset/pick_reader.go
+++ b/node/replicaset/pick_reader.go
@@ -126,7 +126,7 @@
 // carries the reads of 50 hosts, and asks for a floor once for all of them.
 func (a *attempts) unboundedReader(t *tried) (*Member, bool) {
 	s := a.set
-	if t.unbounded || !s.without.Has(mechanism.GateFloors) {
+	if t.unbounded || !s.without.Enabled(mechanism.GateFloors) {
 		return nil, false
 	}
 	now := clock.Now()
@@ -165,7 +165,7 @@
 // homeOf returns the replica at which a team's reads meet; none where callers have
 // no team. It is called with mu held.
 func (s *Set) homeOf(team, primary string) string {
-	if team == "" || !s.without.Has(mechanism.TeamReplicas) {
+	if team == "" || !s.without.Enabled(mechanism.TeamReplicas) {
 		return ""
 	}
 	home, best := "", uint64(0)
@@ -194,7 +194,7 @@
 // awaitReplica waits until a replica that is behind is expected to hold the
 // floor. It returns false at once when none will in the time of the read.
 func (a *attempts) awaitReplica(ctx context.Context, t *tried, floor logpos.Position, now time.Duration) (*Member, bool) {
-	if !a.staysAt(floor) || !a.set.without.Has(mechanism.ReplicaWait) {
+	if !a.staysAt(floor) || !a.set.without.Enabled(mechanism.ReplicaWait) {
 		return nil, false
 	}
 	best, at, found := catchup.Soonest(a.set.laggards(t, floor, now), now, a.work.StartBy)
--- a/node/replicaset/read.go
+++ b/node/replicaset/read.go
@@ -57,11 +57,11 @@
 	var lost *LostError
 	switch {
 	case errors.As(err, &lost) && clock.Now() >= w.EndBy:
-		out.Answer = statement.Refuse(statement.TimedOut, "the statement's time is over", statement.Idle)
+		out.Answer = statement.ErrorAnswer(statement.TimedOut, "the statement's time is over", statement.Idle)
 	case errors.As(err, &refused) && refused.RetryAfter > 0:
-		out.Answer = statement.Refuse(statement.Busy, RetryHint(refused.RetryAfter), statement.Idle)
+		out.Answer = statement.ErrorAnswer(statement.Busy, RetryHint(refused.RetryAfter), statement.Idle)
 	default:
-		out.Answer = statement.Refuse(statement.Busy, RetryHint(defaultRetryAfter), statement.Idle)
+		out.Answer = statement.ErrorAnswer(statement.Busy, RetryHint(defaultRetryAfter), statement.Idle)
 	}
 	return out
 }
--- a/node/replicaset/reclaim.go
+++ b/node/replicaset/reclaim.go
@@ -11,7 +11,7 @@
 // of a member, because a statement waits for one. Its caller is told when it
 // goes on; nothing of it is kept.
 func (s *Set) reclaim(m *Member) {
-	if !s.without.Has(mechanism.Reclaim) {
+	if !s.without.Enabled(mechanism.Reclaim) {
 		return
 	}
 	if !m.exhausted() {
--- a/node/replicaset/run.go
+++ b/node/replicaset/run.go
@@ -20,7 +20,7 @@
 // run sends a caller's statement on a connection. The connection has the
 // caller's session values already.
 func (c *Conn) run(st statement.Statement, after logpos.Position, until time.Duration) (exchange, error) {
-	op := statement.Operation{Verb: statement.Forward, ID: st.ID, Text: st.Text, After: after}
+	op := statement.Operation{Verb: statement.Forward, ID: st.ID, Text: st.Text, MinPosition: after}
 	if st.Kind != statement.Execute {
 		return c.send(op, until)
 	}
@@ -33,7 +33,7 @@
 		if err != nil {
 			return exchange{}, err
 		}
-		op.Verb, op.Name, op.Text = statement.RunDefined, name, st.Value
+		op.Verb, op.Name, op.Text = statement.ExecutePrepared, name, st.Value
 		x, err = c.send(op, until)
 		if err != nil || x.answer.Code != statement.UnknownStatement {
 			return x, err
--- a/node/replicaset/set.go
+++ b/node/replicaset/set.go
@@ -86,7 +86,7 @@
 	// Host is this host's name among those that Update lists.
 	Host string
 	// Without is what the host is run without.
-	Without mechanism.Without
+	Without mechanism.Disabled
 	Log     zerolog.Logger
 }
 
@@ -103,7 +103,7 @@
 	remote  Remote
 	owner   string
 	host    string
-	without mechanism.Without
+	without mechanism.Disabled
 	// gateHealth tells which hosts answer what is sent to them.
 	gateHealth gateHealth
 	txs        txTable
@@ -181,7 +181,7 @@
 // shareOf returns this host's share of a member's connections. It is called with
 // mu held.
 func (s *Set) shareOf(plan gates.Plan, m gates.Member) gates.Share {
-	if !s.without.Has(mechanism.Gates) {
+	if !s.without.Enabled(mechanism.Gates) {
 		return plan.Even()
 	}
 	return s.shares.For(plan, m)
--- a/node/replicaset/tx.go
+++ b/node/replicaset/tx.go
@@ -51,7 +51,7 @@
 func (t *Tx) Do(ctx context.Context, w Work) statement.Answer {
 	res := t.set.step(ctx, t.member, t.gate, Job{Kind: JobStatement, Work: w, Tx: t.id})
 	if res.Err != nil {
-		return statement.Refuse(statement.Aborted, "the transaction was rolled back: "+res.Err.Error(), statement.Failed)
+		return statement.ErrorAnswer(statement.Aborted, "the transaction was rolled back: "+res.Err.Error(), statement.Failed)
 	}
 	return res.Answer
 }
@@ -62,9 +62,9 @@
 	res := t.set.step(ctx, t.member, t.gate, Job{Kind: JobCommit, Work: w, Tx: t.id, Wrote: wrote})
 	if res.Err != nil {
 		if wrote && res.mayHaveRun() {
-			return statement.Refuse(statement.InDoubt, "the commit had no answer; it may have been kept", statement.Idle)
+			return statement.ErrorAnswer(statement.InDoubt, "the commit had no answer; it may have been kept", statement.Idle)
 		}
-		return statement.Refuse(statement.Aborted, "the transaction was lost before its end: "+res.Err.Error(), statement.Idle)
+		return statement.ErrorAnswer(statement.Aborted, "the transaction was lost before its end: "+res.Err.Error(), statement.Idle)
 	}
 	res.Answer.State = statement.Idle
 	return res.Answer
--- a/node/replicaset/unbounded_test.go
+++ b/node/replicaset/unbounded_test.go
@@ -44,7 +44,7 @@
 // newest floor is older than any read may be: with hundreds of hosts, one has
 // less than a statement a second for each group.
 func hostOfLargeFleet(r Remote, without ...mechanism.Name) *Set {
-	left := mechanism.Without{}
+	left := mechanism.Disabled{}
 	for _, n := range without {
 		left[n] = true
 	}
--- a/node/replicaset/watch_gate.go
+++ b/node/replicaset/watch_gate.go
@@ -16,7 +16,7 @@
 // is given up, to be run elsewhere; a write waits for its answer, or until the
 // host counts as lost.
 func (s *Set) runWatched(ctx context.Context, address string, j Job) Result {
-	if !s.without.Has(mechanism.GateWatch) {
+	if !s.without.Enabled(mechanism.GateWatch) {
 		return s.remote.Run(ctx, address, s.service, j)
 	}
 	if !j.repeatable() {
@@ -24,7 +24,7 @@
 	}
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	look := time.AfterFunc(health.LookAfter, func() { s.watchGate(ctx, cancel, address, j.repeatable()) })
+	look := time.AfterFunc(health.GateProbeDelay, func() { s.watchGate(ctx, cancel, address, j.repeatable()) })
 	defer look.Stop()
 	return s.remote.Run(ctx, address, s.service, j)
 }
@@ -43,7 +43,7 @@
 			s.remote.Drop(address)
 			return
 		}
-		clock.Sleep(ctx, health.LookAfter)
+		clock.Sleep(ctx, health.GateProbeDelay)
 	}
 }
 
--- a/node/replicaset/watch_gate_test.go
+++ b/node/replicaset/watch_gate_test.go
@@ -116,7 +116,7 @@
 // TestReadStaysWithAGateThatIsBusy: a statement that queues at a gate that
 // lives would only take another's place elsewhere.
 func TestReadStaysWithAGateThatIsBusy(t *testing.T) {
-	r := &fakeRemote{slow: 3 * health.SilentGate, alive: true}
+	r := &fakeRemote{slow: 3 * health.GateSilenceTimeout, alive: true}
 	out := distantSet(r).Read(context.Background(), boundedRead(time.Minute))
 	require.Equal(t, statement.OK, out.Answer.Code)
 	require.Len(t, r.calls, 1)
@@ -147,7 +147,7 @@
 			r := &fakeRemote{alive: c.alive}
 			s := distantSet(r)
 			s.LearnFloor(Floor{Position: logpos.Position{Term: 2, Offset: 1}, Sent: clock.Now(), Lead: Lead{Primary: "m", Term: 2}})
-			s.Write(context.Background(), boundedRead(health.LostGate+3*health.SilentGate))
+			s.Write(context.Background(), boundedRead(health.GateLostTimeout+3*health.GateSilenceTimeout))
 			require.Equal(t, c.drops, r.drops())
 		})
 	}
--- a/node/replicaset/write.go
+++ b/node/replicaset/write.go
@@ -15,7 +15,7 @@
 	}
 	if res.mayHaveRun() {
 		a.out.Cause = res.Err.Error()
-		a.out.Answer = statement.Refuse(statement.InDoubt, "the member did not answer; the write may have been kept", statement.Idle)
+		a.out.Answer = statement.ErrorAnswer(statement.InDoubt, "the member did not answer; the write may have been kept", statement.Idle)
 	}
 	return a.out
 }
--- a/node/router/router.go
+++ b/node/router/router.go
@@ -96,7 +96,7 @@
 		return request.Refused(outcome.Refuse(outcome.UnknownService, "%s", req.Service))
 	}
 	r.mu.Lock()
-	r.budget.Attempt()
+	r.budget.RecordAttempt()
 	r.mu.Unlock()
 	st := r.table(cfg, svc)
 	if req.Write {
@@ -108,7 +108,7 @@
 // doPrimary sends a request to the primary, waiting for one if need be.
 func (r *Router) doPrimary(ctx context.Context, svc conf.Service, st *serviceTable, req *request.Request) *request.Response {
 	if !r.startWaiting(st) {
-		return request.Refused(outcome.Refuse(outcome.QueueFull, "too many requests wait for the primary of %s", svc.Name).After(time.Second))
+		return request.Refused(outcome.Refuse(outcome.QueueFull, "too many requests wait for the primary of %s", svc.Name).WithRetryAfter(time.Second))
 	}
 	defer r.endWaiting(st)
 	var last *outcome.Refusal
@@ -150,7 +150,7 @@
 // redirected.
 func exhausted(last *outcome.Refusal) *outcome.Refusal {
 	if last.Code == outcome.WrongMember {
-		return outcome.Refuse(outcome.NoPrimary, "%s", last.Detail).After(time.Second)
+		return outcome.Refuse(outcome.NoPrimary, "%s", last.Detail).WithRetryAfter(time.Second)
 	}
 	return last
 }
@@ -192,13 +192,13 @@
 func (r *Router) takeRetry() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.budget.Retry()
+	return r.budget.TryRetry()
 }
 
 // pause waits before the next round; it fails when the deadline would pass.
 func (r *Router) pause(ctx context.Context, attempt int, deadline time.Time) bool {
 	r.mu.Lock()
-	wait := redirect.Wait(attempt, r.rng)
+	wait := redirect.Delay(attempt, r.rng)
 	r.mu.Unlock()
 	if time.Until(deadline) <= wait {
 		return false
