--- a/core/admit/heap.go
+++ b/core/admit/heap.go
@@ -1,11 +1,11 @@
 package admit
 
-// entry is a queued request with its virtual start time.
+// entry is a queued request.
 type entry struct {
-	request  Request
-	start    float64
-	sequence uint64
-	index    int
+	request      Request
+	virtualStart float64
+	sequence     uint64
+	index        int
 }
 
 // requestHeap orders entries by virtual start time, then by arrival.
@@ -14,8 +14,8 @@
 func (h requestHeap) Len() int { return len(h) }
 
 func (h requestHeap) Less(i, j int) bool {
-	if h[i].start != h[j].start {
-		return h[i].start < h[j].start
+	if h[i].virtualStart != h[j].virtualStart {
+		return h[i].virtualStart < h[j].virtualStart
 	}
 	return h[i].sequence < h[j].sequence
 }
@@ -25,14 +25,14 @@
 	h[i].index, h[j].index = i, j
 }
 
-// Push adds an entry; it is for container/heap only.
+// Push implements heap.Interface.
 func (h *requestHeap) Push(x any) {
 	e := x.(*entry)
 	e.index = len(*h)
 	*h = append(*h, e)
 }
 
-// Pop removes the last entry; it is for container/heap only.
+// Pop implements heap.Interface.
 func (h *requestHeap) Pop() any {
 	old := *h
 	e := old[len(old)-1]
--- a/core/admit/queue.go
+++ b/core/admit/queue.go
@@ -1,7 +1,8 @@
-// Package admit shares the slots of one upstream among teams. It is
-// start-time fair queueing (Goyal, Vin and Cheng, 1996) over cost: a team
-// that is alone uses every slot, and one that returns is served next, because
-// its virtual start time is not behind the queue's.
+// Package admit shares the execution slots of one upstream among teams by
+// start-time fair queueing (Goyal, Vin and Cheng, 1996), weighted by the
+// expected cost of each request. It is work-conserving: a single active team
+// may use every slot, and a team that becomes active again is not penalized
+// for the slots that others used in the meantime.
 package admit
 
 import (
@@ -9,62 +10,63 @@
 	"time"
 )
 
-// Config holds the limits of one queue.
+// Config holds the limits of a Queue.
 type Config struct {
 	// Slots is the number of requests that may run at once.
 	Slots int
-	// MaxQueued bounds the requests that wait, over all teams.
+	// MaxQueued is the maximum number of queued requests, over all teams.
 	MaxQueued int
-	// MaxTeamShare is the part of MaxQueued that one team may fill while
-	// others wait too, from 0 to 1.
+	// MaxTeamShare is the fraction of MaxQueued that one team may occupy while
+	// other teams have queued requests, from 0 to 1.
 	MaxTeamShare float64
 }
 
-// Request is one unit of work.
+// Request is a unit of work that occupies one slot.
 type Request struct {
 	ID   uint64
 	Team string
-	// Weight scales the team's share; 1 is the norm.
+	// Weight scales the team's share of the slots; 1 is a regular share.
 	Weight float64
 	// Cost is the expected slot time.
 	Cost time.Duration
-	// Deadline is the latest useful end, on the caller's monotonic clock.
+	// Deadline is the latest useful completion time, on the same clock as the
+	// now arguments of Queue.
 	Deadline time.Duration
 }
 
-// Verdict says what became of an offered request.
-type Verdict uint8
+// Decision is the result of offering a request to a Queue.
+type Decision uint8
 
-// The verdicts of Offer.
 const (
-	// Run means a slot is taken and the request starts now.
-	Run Verdict = iota
-	// Wait means the request is queued.
-	Wait
-	// Full means the queue has no room for this team.
-	Full
-	// Late means the request would miss its deadline.
-	Late
+	// Admitted means that the request has taken a slot and starts now.
+	Admitted Decision = iota
+	// Queued means that the request waits for a slot.
+	Queued
+	// QueueFull means that the queue, or the team's share of it, is full.
+	QueueFull
+	// DeadlineUnreachable means that the request is expected to miss its deadline.
+	DeadlineUnreachable
 )
 
 // Queue admits requests to the slots of one upstream. It is not safe for
-// concurrent use.
+// concurrent use. Times are offsets on a monotonic clock.
 type Queue struct {
-	cfg      Config
-	running  int
-	virtual  float64
-	teams    map[string]*teamState
-	waiting  requestHeap
-	byID     map[uint64]*entry
-	sequence uint64
-	// service is the smoothed slot time, for estimates of the wait.
-	service time.Duration
+	cfg         Config
+	running     int
+	virtualTime float64
+	teams       map[string]*teamState
+	waiting     requestHeap
+	byID        map[uint64]*entry
+	sequence    uint64
+	// meanServiceTime is the moving average of the time that requests hold a
+	// slot. It is used to estimate queueing delay.
+	meanServiceTime time.Duration
 }
 
 // teamState is the fair-queueing state of one team.
 type teamState struct {
-	finish float64
-	queued int
+	virtualFinish float64
+	queued        int
 }
 
 // NewQueue returns an empty queue.
@@ -78,133 +80,136 @@
 // Waiting returns the number of queued requests.
 func (q *Queue) Waiting() int { return len(q.waiting) }
 
-// Resize changes the number of slots; running requests are not affected.
+// Resize changes the number of slots. Running requests are not affected.
 func (q *Queue) Resize(slots int) { q.cfg.Slots = slots }
 
 // Offer admits, queues or refuses a request.
-func (q *Queue) Offer(r Request, now time.Duration) Verdict {
+func (q *Queue) Offer(r Request, now time.Duration) Decision {
 	if q.expectedWait()+r.Cost > r.Deadline-now {
-		return Late
+		return DeadlineUnreachable
 	}
 	if q.running < q.cfg.Slots && len(q.waiting) == 0 {
 		q.charge(r)
 		q.running++
-		return Run
+		return Admitted
 	}
-	if q.full(r.Team) {
-		return Full
+	if q.isFullFor(r.Team) {
+		return QueueFull
 	}
 	q.push(r)
-	return Wait
+	return Queued
 }
 
-// expectedWait estimates how long a request at the end of the queue waits.
+// expectedWait estimates the queueing delay of a request that joins the queue now.
 func (q *Queue) expectedWait() time.Duration {
 	if q.running < q.cfg.Slots || q.cfg.Slots == 0 {
 		return 0
 	}
-	return q.service * time.Duration(len(q.waiting)) / time.Duration(q.cfg.Slots)
+	return q.meanServiceTime * time.Duration(len(q.waiting)) / time.Duration(q.cfg.Slots)
 }
 
-func (q *Queue) full(team string) bool {
+func (q *Queue) isFullFor(team string) bool {
 	if len(q.waiting) >= q.cfg.MaxQueued {
 		return true
 	}
-	ts := q.teams[team]
-	if ts == nil || ts.queued == len(q.waiting) {
+	state := q.teams[team]
+	if state == nil || state.queued == len(q.waiting) {
 		return false
 	}
-	return float64(ts.queued) >= q.cfg.MaxTeamShare*float64(q.cfg.MaxQueued)
+	return float64(state.queued) >= q.cfg.MaxTeamShare*float64(q.cfg.MaxQueued)
 }
 
-// charge advances the team's virtual time by the cost of r and returns the
-// virtual start of r.
+// charge advances the team's virtual finish time by the weighted cost of r and
+// returns the virtual start time of r.
 func (q *Queue) charge(r Request) float64 {
-	ts := q.teams[r.Team]
-	if ts == nil {
-		ts = &teamState{}
-		q.teams[r.Team] = ts
+	state := q.teams[r.Team]
+	if state == nil {
+		state = &teamState{}
+		q.teams[r.Team] = state
 	}
-	start := max(q.virtual, ts.finish)
-	ts.finish = start + float64(max(r.Cost, time.Microsecond))/max(r.Weight, minWeight)
+	start := max(q.virtualTime, state.virtualFinish)
+	state.virtualFinish = start + float64(max(r.Cost, time.Microsecond))/max(r.Weight, minWeight)
 	return start
 }
 
-// minWeight keeps a zero weight from dividing by zero.
+// minWeight prevents a division by zero for requests without a weight.
 const minWeight = 0.001
 
 func (q *Queue) push(r Request) {
 	start := q.charge(r)
 	q.teams[r.Team].queued++
 	q.sequence++
-	e := &entry{request: r, start: start, sequence: q.sequence}
+	e := &entry{request: r, virtualStart: start, sequence: q.sequence}
 	q.byID[r.ID] = e
 	heap.Push(&q.waiting, e)
 }
 
-// Done frees a slot after a request that took the given time, and returns the
-// requests that start now and those that are refused because they are late.
-func (q *Queue) Done(took, now time.Duration) (start, late []Request) {
+// Done frees the slot of a request that held it for serviceTime. A zero
+// serviceTime marks a slot that was returned unused. Done returns the queued
+// requests that are admitted now and those that can no longer meet their
+// deadline, which are dropped.
+func (q *Queue) Done(serviceTime, now time.Duration) (admitted, expired []Request) {
 	q.running--
-	q.observe(took)
+	q.observeServiceTime(serviceTime)
 	return q.Dispatch(now)
 }
 
-// Dispatch fills free slots from the queue.
-func (q *Queue) Dispatch(now time.Duration) (start, late []Request) {
+// Dispatch fills free slots from the queue. Its results are those of Done.
+func (q *Queue) Dispatch(now time.Duration) (admitted, expired []Request) {
 	for q.running < q.cfg.Slots && len(q.waiting) > 0 {
 		e := heap.Pop(&q.waiting).(*entry)
-		q.forget(e)
+		q.untrack(e)
 		if now+e.request.Cost > e.request.Deadline {
-			late = append(late, e.request)
+			expired = append(expired, e.request)
 			continue
 		}
-		q.virtual = max(q.virtual, e.start)
+		q.virtualTime = max(q.virtualTime, e.virtualStart)
 		q.running++
-		start = append(start, e.request)
+		admitted = append(admitted, e.request)
 	}
 	if q.running == 0 && len(q.waiting) == 0 {
 		q.reset()
 	}
-	return start, late
+	return admitted, expired
 }
 
-// reset forgets the teams' past once the upstream is idle.
+// reset clears the fair-queueing state once the upstream is idle.
 func (q *Queue) reset() {
-	q.virtual = 0
+	q.virtualTime = 0
 	clear(q.teams)
 }
 
-// Remove takes a queued request out, for a caller that gave up. It reports
-// whether the request was still waiting, which means that it did not run.
+// Remove cancels a queued request. It reports whether the request was still
+// queued; if not, it was already admitted or dropped.
 func (q *Queue) Remove(id uint64) bool {
 	e, found := q.byID[id]
 	if !found {
 		return false
 	}
 	heap.Remove(&q.waiting, e.index)
-	q.forget(e)
+	q.untrack(e)
 	return true
 }
 
-func (q *Queue) forget(e *entry) {
+func (q *Queue) untrack(e *entry) {
 	delete(q.byID, e.request.ID)
-	if ts := q.teams[e.request.Team]; ts != nil {
-		ts.queued--
+	if state := q.teams[e.request.Team]; state != nil {
+		state.queued--
 	}
 }
 
-// smoothing is the weight of a new sample in the moving mean of service time.
-const smoothing = 0.1
+// serviceTimeWeight is the weight of a new sample in meanServiceTime.
+const serviceTimeWeight = 0.1
 
-// observe takes a slot time; zero stands for a slot that was given back unused.
-func (q *Queue) observe(took time.Duration) {
-	if took == 0 {
+// observeServiceTime updates meanServiceTime. Zero marks a slot that was returned
+// unused and is ignored.
+func (q *Queue) observeServiceTime(serviceTime time.Duration) {
+	if serviceTime == 0 {
 		return
 	}
-	if q.service == 0 {
-		q.service = took
+	if q.meanServiceTime == 0 {
+		q.meanServiceTime = serviceTime
 		return
 	}
-	q.service += time.Duration(smoothing * float64(took-q.service))
+	q.meanServiceTime += time.Duration(serviceTimeWeight * float64(serviceTime-q.meanServiceTime))
 }
--- a/core/admit/queue_test.go
+++ b/core/admit/queue_test.go
@@ -13,10 +13,8 @@
 
 func TestMain(m *testing.M) { fixedseed.Main(m) }
 
-// TestFairnessBound keeps two or more teams backlogged and checks that, at
-// any time, the service that two of them got differs by no more than one
-// request of each plus what the slots hold (the bound of start-time fair
-// queueing, times the number of slots).
+// TestFairnessBound checks that the service received by any two backlogged teams
+// never differs by more than the cost of two requests of maximum size.
 func TestFairnessBound(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		slots := rapid.IntRange(1, 5).Draw(t, "slots")
@@ -32,7 +30,7 @@
 				ID: id, Team: team, Weight: 1, Deadline: time.Hour,
 				Cost: time.Duration(rapid.IntRange(1, 20).Draw(t, "cost")) * time.Millisecond,
 			}
-			if q.Offer(r, 0) == admit.Run {
+			if q.Offer(r, 0) == admit.Admitted {
 				running = append(running, r)
 			}
 		}
@@ -48,9 +46,9 @@
 			i := rapid.IntRange(0, len(running)-1).Draw(t, "finished")
 			done := running[i]
 			running = append(running[:i:i], running[i+1:]...)
-			start, late := q.Done(done.Cost, 0)
-			require.Empty(t, late)
-			for _, r := range start {
+			admitted, expired := q.Done(done.Cost, 0)
+			require.Empty(t, expired)
+			for _, r := range admitted {
 				served[r.Team] += r.Cost
 				running = append(running, r)
 			}
@@ -64,21 +62,22 @@
 	})
 }
 
-// TestNothingIsLost offers, finishes and removes at random: every request ends
-// as run, refused, late or removed, once, and slots are never exceeded.
-func TestNothingIsLost(t *testing.T) {
+// TestEveryRequestIsSettledOnce applies random operations and checks that every
+// queued request is admitted, dropped or removed exactly once, and that the number
+// of running requests never exceeds the number of slots.
+func TestEveryRequestIsSettledOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		slots := rapid.IntRange(1, 4).Draw(t, "slots")
 		q := admit.NewQueue(admit.Config{Slots: slots, MaxQueued: 8, MaxTeamShare: 0.5})
 		now := time.Duration(0)
 		waiting, running := map[uint64]bool{}, []uint64{}
-		settle := func(start, late []admit.Request) {
-			for _, r := range append(start, late...) {
-				require.True(t, waiting[r.ID], "request %d was settled twice", r.ID)
+		recordDispatch := func(admitted, expired []admit.Request) {
+			for _, r := range append(admitted, expired...) {
+				require.True(t, waiting[r.ID], "request %d was admitted or dropped twice", r.ID)
 				delete(waiting, r.ID)
 			}
-			for _, r := range start {
-				require.LessOrEqual(t, now+r.Cost, r.Deadline, "a late request started")
+			for _, r := range admitted {
+				require.LessOrEqual(t, now+r.Cost, r.Deadline, "admitted a request that cannot meet its deadline")
 				running = append(running, r.ID)
 			}
 		}
@@ -91,15 +90,15 @@
 					Deadline: now + time.Duration(rapid.IntRange(0, 40).Draw(t, "left")),
 				}
 				switch q.Offer(r, now) {
-				case admit.Run:
+				case admit.Admitted:
 					running = append(running, id)
-				case admit.Wait:
+				case admit.Queued:
 					waiting[id] = true
 				}
 			case 2:
 				if len(running) > 0 {
 					running = running[1:]
-					settle(q.Done(3, now))
+					recordDispatch(q.Done(3, now))
 				}
 			case 3:
 				for w := range waiting {
@@ -115,21 +114,21 @@
 	})
 }
 
-// TestIdleCapacity checks that one team alone gets every slot, and that
-// another that returns is next in line.
-func TestIdleCapacity(t *testing.T) {
+// TestSingleTeamUsesAllSlots checks that a single active team gets every slot, and
+// that a second team is served ahead of the first one's backlog.
+func TestSingleTeamUsesAllSlots(t *testing.T) {
 	q := admit.NewQueue(admit.Config{Slots: 2, MaxQueued: 100, MaxTeamShare: 0.5})
 	request := func(id uint64, team string) admit.Request {
 		return admit.Request{ID: id, Team: team, Weight: 1, Cost: 1, Deadline: time.Hour}
 	}
-	require.Equal(t, admit.Run, q.Offer(request(1, "flood"), 0))
-	require.Equal(t, admit.Run, q.Offer(request(2, "flood"), 0))
+	require.Equal(t, admit.Admitted, q.Offer(request(1, "backlogged"), 0))
+	require.Equal(t, admit.Admitted, q.Offer(request(2, "backlogged"), 0))
 	for id := uint64(3); id < 40; id++ {
-		q.Offer(request(id, "flood"), 0)
+		q.Offer(request(id, "backlogged"), 0)
 	}
-	require.Equal(t, admit.Wait, q.Offer(request(50, "victim"), 0))
-	start, _ := q.Done(1, 0)
-	require.Len(t, start, 1)
-	start2, _ := q.Done(1, 0)
-	require.True(t, start[0].Team == "victim" || start2[0].Team == "victim", "the returning team waits behind the flood")
+	require.Equal(t, admit.Queued, q.Offer(request(50, "light"), 0))
+	admitted, _ := q.Done(1, 0)
+	require.Len(t, admitted, 1)
+	admitted2, _ := q.Done(1, 0)
+	require.True(t, admitted[0].Team == "light" || admitted2[0].Team == "light", "the second team waits behind the backlog of the first")
 }
--- a/node/owner/pool.go
+++ b/node/owner/pool.go
@@ -85,7 +85,7 @@
 	verdict := p.queue.Offer(admit.Request{
 		ID: id, Team: team, Weight: weight, Cost: p.cost, Deadline: p.now() + time.Until(deadline),
 	}, p.now())
-	if verdict != admit.Wait {
+	if verdict != admit.Queued {
 		p.mu.Unlock()
 		return p.verdictRefusal(verdict)
 	}
@@ -95,11 +95,11 @@
 	return p.await(ctx, id, ticket)
 }
 
-func (p *pool) verdictRefusal(v admit.Verdict) *outcome.Refusal {
+func (p *pool) verdictRefusal(v admit.Decision) *outcome.Refusal {
 	switch v {
-	case admit.Full:
+	case admit.QueueFull:
 		return outcome.Refuse(outcome.QueueFull, "upstream %s", p.spec.Name).After(p.backlog())
-	case admit.Late:
+	case admit.DeadlineUnreachable:
 		return outcome.Refuse(outcome.DeadlineBeforeStart, "upstream %s", p.spec.Name).After(p.backlog())
 	default:
 		return nil
@@ -128,7 +128,7 @@
 			p.leave(0)
 		}
 	}
-	return p.verdictRefusal(admit.Late)
+	return p.verdictRefusal(admit.DeadlineUnreachable)
 }
 
 // leave frees a slot after the given slot time and starts the next requests.
