--- a/core/balance/balance.go
+++ b/core/balance/balance.go
@@ -1,9 +1,8 @@
-// Package balance picks the member that a read goes to.
+// Package balance ranks the members that a read may be sent to by their expected
+// response time.
 //
-// Load pattern: reads outnumber writes and every member runs just a few
-// statements at once, so a read is best where its answer is expected first.
-// Several hosts decide at the same time without talking to each other; the
-// answer times that each one sees carry the load that all of them make.
+// Hosts decide independently of each other. The load that other hosts put on a
+// member is reflected in the response times that each host observes.
 package balance
 
 import (
@@ -11,82 +10,79 @@
 	"time"
 )
 
-// Candidate is what a host knows of one member.
+// Candidate is this host's view of one member.
 type Candidate struct {
 	ID      string
 	Primary bool
-	// RoundTrip is the time to the member and back without any work.
+	// RoundTrip is the network round-trip time to the member.
 	RoundTrip time.Duration
-	// Answer is the smoothed time of its answers, the wait in its own queue
-	// included.
-	Answer time.Duration
-	// InUse and Waiting count this host's statements at the member.
+	// ResponseTime is the moving average of the member's response times, including
+	// the wait in its own queue.
+	ResponseTime time.Duration
+	// InUse and Waiting count the statements of this host that run on the member
+	// and that wait for a connection to it.
 	InUse, Waiting int
-	// Idle tells that a connection is free.
-	Idle bool
-	// Foreign tells that the caller's team has its connections at another replica.
-	Foreign bool
-	// Slots is how many statements the member runs at once.
+	// HasIdleConn is set if a connection to the member is available.
+	HasIdleConn bool
+	// AffinityElsewhere is set if the reads of the caller's team are preferably sent
+	// to another replica, which is likely to have an open connection of the team.
+	AffinityElsewhere bool
+	// Slots is the number of statements that the member runs concurrently.
 	Slots int
-	// Suspect is set while its newest exchange failed.
+	// Suspect is set if the most recent exchange with the member failed.
 	Suspect bool
-	// Missing is set while its entry on the platform is lost.
-	Missing bool
-	// Behind is set while it lately lacked a position that a read needed.
-	Behind bool
+	// Unregistered is set if the member's entry on the platform is missing.
+	Unregistered bool
+	// Lagging is set if the member recently had not applied a position that a read
+	// required.
+	Lagging bool
 }
 
 const (
-	// connectCost is what a new connection adds: 12 to 27 ms of a slot on the
-	// deployments, and two round trips.
+	// connectCost is the expected cost of opening a connection.
 	connectCost = 25 * time.Millisecond
-	// foreignCost has a team's reads meet at one replica, where a connection of the
-	// team is likely to be open, unless another one answers sooner by more than a new
-	// connection takes.
-	foreignCost = connectCost
-	// primaryCost keeps reads away from the one member that can write, as long
-	// as a replica answers within this much of it: three times the trip to another
-	// region and back. At one such trip a quarter of all reads went to the primary
-	// of the caller's own zone; now replicas serve 0.86 of the reads in place of
-	// 0.60 where they are 60 ms behind, 0.97 in place of 0.76 where they are 20 ms
-	// behind, and 0.3 % of the operations of a loaded day are not refused any more.
-	primaryCost = 120 * time.Millisecond
-	// doubtCost puts members in doubt behind all others. It exceeds the waits
-	// that queues reach before they refuse.
-	doubtCost = 5 * time.Second
+	// affinityPenalty keeps a team's reads on one replica, where a connection of the
+	// team is likely to be open, unless another replica is faster by more than the
+	// cost of a connection.
+	affinityPenalty = connectCost
+	// primaryPenalty reserves the primary's capacity for writes. It is several
+	// times the round trip between regions, so that callers in the primary's zone
+	// use remote replicas too.
+	primaryPenalty = 120 * time.Millisecond
+	// unhealthyPenalty ranks unhealthy members behind all others. It exceeds the
+	// longest wait that a queue accepts.
+	unhealthyPenalty = 5 * time.Second
 )
 
-// Usable reports whether a read may be sent to the member now: it is neither in
-// doubt nor behind.
-func (c Candidate) Usable() bool { return !c.Behind && !c.Suspect }
+// Usable reports whether the member is neither suspect nor lagging.
+func (c Candidate) Usable() bool { return !c.Lagging && !c.Suspect }
 
-// cost is the time after which the member is expected to have answered, with
-// the charges above.
-func (c Candidate) cost() time.Duration {
+// expectedCost returns the expected response time plus the penalties.
+func (c Candidate) expectedCost() time.Duration {
 	slots := max(c.Slots, 1)
-	cost := c.RoundTrip + c.Answer
-	cost += c.Answer * time.Duration(c.InUse+c.Waiting) / time.Duration(slots)
-	if !c.Idle {
+	cost := c.RoundTrip + c.ResponseTime
+	cost += c.ResponseTime * time.Duration(c.InUse+c.Waiting) / time.Duration(slots)
+	if !c.HasIdleConn {
 		cost += connectCost
 	}
-	if c.Foreign {
-		cost += foreignCost
+	if c.AffinityElsewhere {
+		cost += affinityPenalty
 	}
 	if c.Primary {
-		cost += primaryCost
+		cost += primaryPenalty
 	}
-	if c.Behind || c.Missing {
-		cost += doubtCost
+	if c.Lagging || c.Unregistered {
+		cost += unhealthyPenalty
 	}
 	if c.Suspect {
-		cost += 2 * doubtCost
+		cost += 2 * unhealthyPenalty
 	}
 	return cost
 }
 
-// Order sorts candidates, the best first. Equal ones keep their order.
-func Order(candidates []Candidate) []Candidate {
+// Rank returns the candidates sorted by ascending cost. The sort is stable.
+func Rank(candidates []Candidate) []Candidate {
 	out := slices.Clone(candidates)
-	slices.SortStableFunc(out, func(a, b Candidate) int { return int(a.cost() - b.cost()) })
+	slices.SortStableFunc(out, func(a, b Candidate) int { return int(a.expectedCost() - b.expectedCost()) })
 	return out
 }
--- a/core/connpool/counts.go
+++ b/core/connpool/counts.go
@@ -1,21 +1,21 @@
 package connpool
 
-// Counts are what a pool has done since they were last taken.
+// Counts are the events of a pool since the previous call of TakeCounts.
 type Counts struct {
-	// Found counts statements that ran on a connection that was open, Opened the
-	// connections that were opened, and Evicted those of them for which another
-	// team's was closed.
-	Found, Opened, Evicted int
+	// Reused is the number of statements that got a connection that was already
+	// open, Opened the number of connections that were opened, and Evicted the
+	// number of idle connections closed to open one for another team.
+	Reused, Opened, Evicted int
 }
 
-// Add sums counts of several pools.
+// Add adds the counts of another pool.
 func (c *Counts) Add(o Counts) {
-	c.Found += o.Found
+	c.Reused += o.Reused
 	c.Opened += o.Opened
 	c.Evicted += o.Evicted
 }
 
-// TakeCounts returns the counts since it was last called.
+// TakeCounts returns the counts and resets them.
 func (p *Pool) TakeCounts() Counts {
 	c := p.counts
 	p.counts = Counts{}
--- a/core/connpool/demand.go
+++ b/core/connpool/demand.go
@@ -6,54 +6,51 @@
 )
 
 const (
-	// popularityMemory is the time in which a team's past statements lose two thirds
-	// of their weight: several pauses between two statements of a small team, and few
-	// enough that a team that has stopped calling gives its place up.
-	popularityMemory = 8 * time.Second
-	// forgottenBelow is the popularity at which a team is forgotten: half a minute
-	// after its last statement.
-	forgottenBelow = 0.02
+	// demandDecayTime is the time constant of a team's demand. It spans several
+	// requests of a team that calls rarely, while a team that has stopped calling
+	// loses its connection soon.
+	demandDecayTime = 8 * time.Second
+	// minTeamDemand is the demand below which the entry of a team is removed.
+	minTeamDemand = 0.02
 )
 
-// popularity is how often the teams asked for a connection lately.
-//
-// Load pattern: 88 teams, of which ten make half of the statements, share 33
-// connections. The connection used longest ago is often that of a team that calls
-// every second or two, and the one used last that of a team that calls once a minute.
-type popularity struct {
-	teams    map[string]weight
-	tidiedAt time.Duration
+// teamDemand estimates how likely each team is to request a connection again, as an
+// exponentially decaying count of its requests. Recency alone is a poor
+// predictor: the connection used last may belong to a team that calls rarely.
+type teamDemand struct {
+	teams    map[string]decayedCount
+	prunedAt time.Duration
 }
 
-// weight is a count that fades with time.
-type weight struct {
-	count float64
-	at    time.Duration
+// decayedCount is a count that decays exponentially with time.
+type decayedCount struct {
+	count     float64
+	updatedAt time.Duration
 }
 
-func newPopularity() *popularity { return &popularity{teams: map[string]weight{}} }
+func newTeamDemand() *teamDemand { return &teamDemand{teams: map[string]decayedCount{}} }
 
-// asked notes a statement of a team.
-func (p *popularity) asked(team string, now time.Duration) {
-	p.teams[team] = weight{count: p.of(team, now) + 1, at: now}
-	p.tidy(now)
+// record counts a request of a team.
+func (d *teamDemand) record(team string, now time.Duration) {
+	d.teams[team] = decayedCount{count: d.get(team, now) + 1, updatedAt: now}
+	d.prune(now)
 }
 
-// of returns a team's popularity.
-func (p *popularity) of(team string, now time.Duration) float64 {
-	w := p.teams[team]
-	return w.count * math.Exp(-float64(now-w.at)/float64(popularityMemory))
+// get returns the current demand of a team.
+func (d *teamDemand) get(team string, now time.Duration) float64 {
+	c := d.teams[team]
+	return c.count * math.Exp(-float64(now-c.updatedAt)/float64(demandDecayTime))
 }
 
-// tidy forgets the teams that have not called for long.
-func (p *popularity) tidy(now time.Duration) {
-	if now-p.tidiedAt < popularityMemory {
+// prune removes teams that have not made a request for a long time.
+func (d *teamDemand) prune(now time.Duration) {
+	if now-d.prunedAt < demandDecayTime {
 		return
 	}
-	p.tidiedAt = now
-	for team := range p.teams {
-		if p.of(team, now) < forgottenBelow {
-			delete(p.teams, team)
+	d.prunedAt = now
+	for team := range d.teams {
+		if d.get(team, now) < minTeamDemand {
+			delete(d.teams, team)
 		}
 	}
 }
--- a/core/connpool/helpers_test.go
+++ b/core/connpool/helpers_test.go
@@ -6,8 +6,8 @@
 	"github.com/dotterelswitch/dotterelswitch/core/connpool"
 )
 
-// opens reports whether the pool wants a connection opened.
-func opens(p *connpool.Pool, now time.Duration) bool {
-	_, due := p.ShouldOpen(now)
+// beginOpen reports whether the pool requests a connection to be opened.
+func beginOpen(p *connpool.Pool, now time.Duration) bool {
+	_, due := p.BeginOpen(now)
 	return due
 }
--- a/core/connpool/idle.go
+++ b/core/connpool/idle.go
@@ -5,17 +5,17 @@
 	"time"
 )
 
-// fitting returns where the idle connection is that fits a statement best: of its
-// team, and with its values if there is one; else the one used last, so that the
-// rest can idle long enough to be closed.
-func (p *Pool) fitting(w Waiter) (int, bool) {
+// findIdle returns the index of the idle connection that suits a statement best:
+// one of its team with its session values, else the team's most recently used
+// one, so that the others can reach their idle timeout.
+func (p *Pool) findIdle(w Waiter) (int, bool) {
 	best := -1
 	for i := len(p.idle) - 1; i >= 0; i-- {
 		c := p.idle[i]
-		if !w.fits(c.Team) {
+		if !w.canUse(c.Team) {
 			continue
 		}
-		if c.Values == w.Values {
+		if c.SessionValues == w.SessionValues {
 			return i, true
 		}
 		if best < 0 {
@@ -25,45 +25,45 @@
 	return best, best >= 0
 }
 
-// takeIdle puts an idle connection into use.
-func (p *Pool) takeIdle(at int) ConnID {
-	p.counts.Found++
-	p.used[p.idle[at].Team]++
-	return p.removeIdle(at)
+// useIdle takes an idle connection into use.
+func (p *Pool) useIdle(index int) ConnID {
+	p.counts.Reused++
+	p.inUse[p.idle[index].Team]++
+	return p.removeIdle(index)
 }
 
-func (p *Pool) removeIdle(at int) ConnID {
-	id := p.idle[at].ID
-	p.idle = append(p.idle[:at], p.idle[at+1:]...)
+func (p *Pool) removeIdle(index int) ConnID {
+	id := p.idle[index].ID
+	p.idle = append(p.idle[:index], p.idle[index+1:]...)
 	return id
 }
 
-// Assign hands an idle connection to a waiter that could not have it while all
-// that may run something did. Call it until it returns false.
-func (p *Pool) Assign(now time.Duration) (ConnID, Waiter, bool) {
+// AssignIdle assigns an idle connection to a waiter that was queued because
+// MaxActive connections were in use. Call it until it returns false.
+func (p *Pool) AssignIdle(now time.Duration) (ConnID, Waiter, bool) {
 	if p.Exhausted() || len(p.idle) == 0 {
 		return 0, Waiter{}, false
 	}
-	at, found := first(p.waiting, now, func(w Waiter) bool {
-		_, fits := p.fitting(w)
-		return fits
+	index, found := nextWaiter(p.waiting, now, func(w Waiter) bool {
+		_, usable := p.findIdle(w)
+		return usable
 	})
 	if !found {
 		return 0, Waiter{}, false
 	}
-	w := p.takeWaiter(at)
-	conn, _ := p.fitting(w)
-	return p.takeIdle(conn), w, true
+	w := p.takeWaiter(index)
+	conn, _ := p.findIdle(w)
+	return p.useIdle(conn), w, true
 }
 
-func (p *Pool) takeWaiter(at int) Waiter {
-	w := p.waiting[at]
-	p.waiting = append(p.waiting[:at], p.waiting[at+1:]...)
+func (p *Pool) takeWaiter(index int) Waiter {
+	w := p.waiting[index]
+	p.waiting = append(p.waiting[:index], p.waiting[index+1:]...)
 	return w
 }
 
-// DropIdle removes all idle connections, which the caller closes, because the
-// member failed.
+// DropIdle removes all idle connections and returns them for closing, after the
+// member failed or was removed.
 func (p *Pool) DropIdle() []ConnID {
 	var ids []ConnID
 	for _, c := range p.idle {
@@ -73,25 +73,27 @@
 	return ids
 }
 
-// SurplusAt returns when Surplus next has something to close if nothing
-// changes, or zero while there is nothing that it might close soon.
-func (p *Pool) SurplusAt() time.Duration {
-	if len(p.idle) == 0 || p.Open() <= min(p.limits.Fair, 1) {
+// NextIdleExpiry returns when ExpireIdle next has a connection to close if nothing
+// else changes, or zero if there is none. A host's only connection is not counted
+// while it is within the fair share.
+func (p *Pool) NextIdleExpiry() time.Duration {
+	if len(p.idle) == 0 || p.Open() <= min(p.limits.FairShare, 1) {
 		return 0
 	}
 	open := p.OpenByTeam()
-	var soonest time.Duration
+	var earliest time.Duration
 	for i, c := range p.idle {
-		if at := c.since + p.idleFor(p.Open(), open[c.Team]); i == 0 || at < soonest {
-			soonest = at
+		if expiry := c.idleSince + p.idleTimeout(p.Open(), open[c.Team]); i == 0 || expiry < earliest {
+			earliest = expiry
 		}
 	}
-	return soonest
+	return earliest
 }
 
-// OpenByTeam counts the connections, those being opened included, by team.
+// OpenByTeam returns the number of connections of each team, including those being
+// opened.
 func (p *Pool) OpenByTeam() map[string]int {
-	open := maps.Clone(p.used)
+	open := maps.Clone(p.inUse)
 	for team, n := range p.opening {
 		open[team] += n
 	}
@@ -101,34 +103,34 @@
 	return open
 }
 
-// idleFor returns how long a connection may idle while the given number is
-// open, and of its own team.
-func (p *Pool) idleFor(open, ofTeam int) time.Duration {
+// idleTimeout returns the idle timeout of a connection, given the number of open
+// connections in total and of its team.
+func (p *Pool) idleTimeout(open, ofTeam int) time.Duration {
 	switch {
-	case open > p.limits.Fair:
-		return idleAboveFair
+	case open > p.limits.FairShare:
+		return idleTimeoutAboveFairShare
 	case ofTeam > 1:
-		return idleSpare
+		return spareIdleTimeout
 	default:
-		return idleAtAll
+		return maxIdleTimeout
 	}
 }
 
-// Surplus removes and returns the idle connections that are to be closed. The
-// one of a team that was used last is the last to go.
-func (p *Pool) Surplus(now time.Duration) []ConnID {
-	var out []ConnID
+// ExpireIdle removes the connections that have reached their idle timeout and
+// returns them for closing. A team's most recently used connection goes last.
+func (p *Pool) ExpireIdle(now time.Duration) []ConnID {
+	var expired []ConnID
 	open, byTeam := p.Open(), p.OpenByTeam()
 	kept := p.idle[:0:0]
 	for _, c := range p.idle {
-		if now-c.since < p.idleFor(open, byTeam[c.Team]) {
+		if now-c.idleSince < p.idleTimeout(open, byTeam[c.Team]) {
 			kept = append(kept, c)
 			continue
 		}
-		out = append(out, c.ID)
+		expired = append(expired, c.ID)
 		open--
 		byTeam[c.Team]--
 	}
 	p.idle = kept
-	return out
+	return expired
 }
--- a/core/connpool/late_statements_test.go
+++ b/core/connpool/late_statements_test.go
@@ -9,122 +9,121 @@
 	"github.com/dotterelswitch/dotterelswitch/core/connpool"
 )
 
-// wave is a load that is above what a pool runs, and below it, by turns.
-type wave struct {
+// alternatingLoad alternates between more and less load than a pool can run.
+type alternatingLoad struct {
 	pool    *connpool.Pool
 	ends    map[connpool.ConnID]time.Duration
 	running map[connpool.ConnID]uint64
 	arrived map[uint64]time.Duration
-	// queued holds those that wait, with when they are judged next.
+	// queued holds the waiting statements.
 	queued map[uint64]queuedWaiter
-	// onTime, late and refused count how statements ended.
+	// onTime, late and refused count statements by result.
 	onTime, late, refused int
 }
 
 type queuedWaiter struct {
 	connpool.Waiter
-	judgeAt time.Duration
+	recheckAt time.Duration
 }
 
 const (
-	waveWork   = 15 * ms
-	waveTarget = 300 * ms
-	waveSlots  = 2
-	waveLength = 12 * time.Second
-	// In the first second of two a statement comes every 5 ms, in the other one
-	// every 13 ms; the pool runs one in 7.5 ms.
-	waveBusy, waveQuiet = 5 * ms, 13 * ms
+	loadServiceTime = 15 * ms
+	loadTarget      = 300 * ms
+	loadSlots       = 2
+	loadDuration    = 12 * time.Second
+	// overloadInterval and lightLoadInterval are the intervals between statements in
+	// alternate seconds. The pool can run one per 7.5 ms.
+	overloadInterval, lightLoadInterval = 5 * ms, 13 * ms
 )
 
-func (w *wave) start(id connpool.ConnID, statement uint64, now time.Duration) {
-	delete(w.queued, statement)
-	w.ends[id], w.running[id] = now+waveWork, statement
+func (l *alternatingLoad) start(id connpool.ConnID, statement uint64, now time.Duration) {
+	delete(l.queued, statement)
+	l.ends[id], l.running[id] = now+loadServiceTime, statement
 }
 
-func (w *wave) finish(now time.Duration) {
-	for id := connpool.ConnID(1); id <= waveSlots; id++ {
-		if at, busy := w.ends[id]; !busy || at > now {
+func (l *alternatingLoad) finish(now time.Duration) {
+	for id := connpool.ConnID(1); id <= loadSlots; id++ {
+		if at, busy := l.ends[id]; !busy || at > now {
 			continue
 		}
-		if now-w.arrived[w.running[id]] <= waveTarget {
-			w.onTime++
+		if now-l.arrived[l.running[id]] <= loadTarget {
+			l.onTime++
 		} else {
-			w.late++
+			l.late++
 		}
-		delete(w.ends, id)
-		if next, found := w.pool.Released(connpool.Conn{ID: id}, waveWork, now); found {
-			w.start(id, next.ID, now)
+		delete(l.ends, id)
+		if next, found := l.pool.Released(connpool.Conn{ID: id}, loadServiceTime, now); found {
+			l.start(id, next.ID, now)
 		}
 	}
 }
 
-func (w *wave) judge(now time.Duration) {
-	for id, q := range w.queued {
-		if q.judgeAt > now {
+func (l *alternatingLoad) recheck(now time.Duration) {
+	for id, q := range l.queued {
+		if q.recheckAt > now {
 			continue
 		}
-		until, keep := w.pool.KeepUntil(q.Waiter, now)
+		until, keep := l.pool.WaitUntil(q.Waiter, now)
 		if !keep {
-			w.pool.Leave(id)
-			delete(w.queued, id)
-			w.refused++
+			l.pool.CancelWait(id)
+			delete(l.queued, id)
+			l.refused++
 			continue
 		}
-		q.judgeAt = until
-		w.queued[id] = q
+		q.recheckAt = until
+		l.queued[id] = q
 	}
 }
 
-func (w *wave) offer(id uint64, now, patience time.Duration) {
-	fresh := now + time.Duration(connpool.FreshShare*float64(waveTarget))
-	q := connpool.Waiter{ID: id, Priority: 1, AimBy: now + waveTarget, FreshBy: fresh, StartBy: max(fresh, now+patience)}
-	w.arrived[id] = now
-	switch d := w.pool.Acquire(q, now); d.Verdict {
+func (l *alternatingLoad) submit(id uint64, now, maxWait time.Duration) {
+	onTimeUntil := now + time.Duration(connpool.OnTimeWaitFraction*float64(loadTarget))
+	q := connpool.Waiter{ID: id, Priority: 1, TargetDeadline: now + loadTarget, OnTimeUntil: onTimeUntil, StartDeadline: max(onTimeUntil, now+maxWait)}
+	l.arrived[id] = now
+	switch d := l.pool.Acquire(q, now); d.Outcome {
 	case connpool.Granted:
-		w.start(d.Conn, id, now)
+		l.start(d.Conn, id, now)
 	case connpool.Queued:
-		w.queued[id] = queuedWaiter{q, fresh}
+		l.queued[id] = queuedWaiter{q, onTimeUntil}
 	default:
-		w.refused++
+		l.refused++
 	}
 }
 
-// playWave offers the load; patience is how long a statement may wait.
-func playWave(t *testing.T, patience time.Duration) *wave {
+// runAlternatingLoad runs the load with the given maximum wait of a statement.
+func runAlternatingLoad(t *testing.T, maxWait time.Duration) *alternatingLoad {
 	t.Helper()
-	w := &wave{
-		pool: connpool.New(connpool.Limits{Max: waveSlots, Fair: waveSlots, MaxWaiting: 1000}),
+	l := &alternatingLoad{
+		pool: connpool.New(connpool.Limits{MaxOpen: loadSlots, FairShare: loadSlots, MaxWaiting: 1000}),
 		ends: map[connpool.ConnID]time.Duration{}, running: map[connpool.ConnID]uint64{},
 		arrived: map[uint64]time.Duration{}, queued: map[uint64]queuedWaiter{},
 	}
-	open(t, w.pool, waveSlots)
-	for id := range waveSlots {
-		w.pool.Released(connpool.Conn{ID: connpool.ConnID(id + 1)}, waveWork, 0)
+	openInUse(t, l.pool, loadSlots)
+	for id := range loadSlots {
+		l.pool.Released(connpool.Conn{ID: connpool.ConnID(id + 1)}, loadServiceTime, 0)
 	}
 	next, id := time.Duration(0), uint64(5000)
-	for now := time.Duration(0); now < waveLength; now += ms {
-		w.finish(now)
-		w.judge(now)
+	for now := time.Duration(0); now < loadDuration; now += ms {
+		l.finish(now)
+		l.recheck(now)
 		if now < next {
 			continue
 		}
 		id++
-		w.offer(id, now, patience)
-		next = now + waveBusy
+		l.submit(id, now, maxWait)
+		next = now + overloadInterval
 		if now%(2*time.Second) >= time.Second {
-			next = now + waveQuiet
+			next = now + lightLoadInterval
 		}
 	}
-	return w
+	return l
 }
 
-// TestLateStatementsAreServedInTheLullsAtNobodysCost replays short surges. A
-// statement that missed its turn and is turned away uses up one of its caller's
-// few tries; kept behind those that are on time, it is served in the next lull.
-func TestLateStatementsAreServedInTheLullsAtNobodysCost(t *testing.T) {
-	short := playWave(t, 0)
-	long := playWave(t, time.Second)
-	require.Greater(t, short.refused, 200)
-	require.Less(t, long.refused, short.refused/4)
-	require.GreaterOrEqual(t, long.onTime, short.onTime*98/100)
+// TestLateStatementsAreServedUnderLightLoad checks that statements that became late during
+// an overload are served after it rather than refused, without delaying on-time ones.
+func TestLateStatementsAreServedUnderLightLoad(t *testing.T) {
+	noWait := runAlternatingLoad(t, 0)
+	longWait := runAlternatingLoad(t, time.Second)
+	require.Greater(t, noWait.refused, 200)
+	require.Less(t, longWait.refused, noWait.refused/4)
+	require.GreaterOrEqual(t, longWait.onTime, noWait.onTime*98/100)
 }
--- a/core/connpool/pool.go
+++ b/core/connpool/pool.go
@@ -1,114 +1,106 @@
-// Package connpool shares a host's connections to one member among the
-// statements that wait for them, and decides when to open, close or refuse.
+// Package connpool shares a host's connections to one member among the statements
+// that wait for them. It decides when to open and close connections and which
+// statements to refuse; its user does the I/O.
 //
-// Load pattern: members take 16 to 55 connections from 7 to 9 hosts, and a few
-// milliseconds per statement, while a surge offers several times what they
-// serve. A connection that is open bounds a host's share of the member's own
-// queue. Statements beyond that wait here, where they can be ordered and
-// refused in time, rather than there, where they cannot.
+// The number of connections bounds a host's share of the member's own queue. Excess
+// statements wait here, where they can be ordered by urgency and refused in time,
+// rather than in the member's queue.
 package connpool
 
 import "time"
 
-// ConnID names a connection; the caller chooses it.
+// ConnID identifies a connection. It is chosen by the user of the pool.
 type ConnID uint64
 
-// Limits bound one pool.
+// Limits are the limits of one pool.
 type Limits struct {
-	// Max is the most connections that this host opens.
-	Max int
-	// Busy is the most of them that run something at once; zero for all. What is
-	// more only keeps connections of other teams at hand.
-	Busy int
-	// Fair is this host's share of the member's connections. Above it, idle
-	// connections are closed soon, because another host may want them.
-	Fair int
-	// MaxWaiting bounds the statements that wait.
+	// MaxOpen is the maximum number of open connections.
+	MaxOpen int
+	// MaxActive is the maximum number of connections in use at once; zero means
+	// MaxOpen. Connections beyond it are kept open for other teams.
+	MaxActive int
+	// FairShare is this host's share of the member's connections. Above it the idle
+	// timeout is short, because other hosts may need the connections.
+	FairShare int
+	// MaxWaiting is the maximum number of waiting statements.
 	MaxWaiting int
 }
 
 const (
-	// crowdedPause is how long no connection is tried after the member refused
-	// one because its limit was reached: about the time in which another host
-	// returns an idle one.
-	crowdedPause = 100 * time.Millisecond
-	// failurePause is how long no connection is tried after a failed one, so
-	// that a dead member does not draw a connection attempt a statement.
-	failurePause = 200 * time.Millisecond
-	// idleAboveFair is how long a connection above the fair share may idle. A
-	// member's connections are few, and one that idles here is one that a
-	// transaction waits for elsewhere; opening it anew costs 12 to 27 ms of a
-	// slot, so it outlives the pauses between statements of a busy host.
-	idleAboveFair = 150 * time.Millisecond
-	// idleSpare is how long a connection may idle beside others. Load pattern:
-	// all hosts lose power, and members hold the dead connections for 3 s; the
-	// fewer there are, the more is left for the hosts that come back. What was
-	// not needed for a second is opened again for a wave, at 12 to 27 ms of a slot.
-	idleSpare = time.Second
-	// idleAtAll is how long any connection may idle. Members close theirs after
-	// 60 s.
-	idleAtAll = 45 * time.Second
-	// smoothing is the weight of a new sample in the mean time that a
-	// connection is held.
-	smoothing = 0.1
-	// firstHold is the mean hold before the first sample: a statement's work
-	// and one trip between regions.
-	firstHold = 30 * time.Millisecond
+	// atLimitBackoff is the pause before the next attempt after the member refused
+	// a connection because its connection limit was reached.
+	atLimitBackoff = 100 * time.Millisecond
+	// failureBackoff is the pause before the next attempt after a connection failed,
+	// so that an unreachable member does not cause an attempt per statement.
+	failureBackoff = 200 * time.Millisecond
+	// idleTimeoutAboveFairShare is the idle timeout of connections above the fair
+	// share. It is short, because other hosts may need the connections, but exceeds
+	// the pauses between statements of a busy host, because opening is expensive.
+	idleTimeoutAboveFairShare = 150 * time.Millisecond
+	// spareIdleTimeout is the idle timeout of a connection whose team has others.
+	// Closing spare connections leaves more of the member's limit to restarted hosts
+	// while the member still holds their old connections.
+	spareIdleTimeout = time.Second
+	// maxIdleTimeout is the idle timeout of any other connection. It is shorter than
+	// the idle timeout of the members, which is 60 s.
+	maxIdleTimeout = 45 * time.Second
+	// meanSampleWeight is the weight of a new sample in the moving averages.
+	meanSampleWeight = 0.1
+	// initialMeanHoldTime is the mean hold time before the first sample.
+	initialMeanHoldTime = 30 * time.Millisecond
 )
 
-// Conn describes a connection to a pool.
+// Conn describes a connection to the pool.
 type Conn struct {
 	ID ConnID
-	// Team is in whose name it was opened: only that team's statements may run on
-	// it.
+	// Team is the team that the connection was opened for. Only statements of this
+	// team, or with AnyTeam, may run on it.
 	Team string
-	// Values identifies the session values that it has.
-	Values string
+	// SessionValues identifies the session values that are set on the connection.
+	SessionValues string
 }
 
-// idleConn is a connection that nobody uses.
 type idleConn struct {
 	Conn
-	since time.Duration
+	idleSince time.Duration
 }
 
-// Pool decides for one member. It is not safe for concurrent use. Times are
-// offsets on any steady clock.
+// Pool manages the connections to one member. It is not safe for concurrent use.
+// Times are offsets on a monotonic clock.
 type Pool struct {
 	limits Limits
-	// idle holds the connections that nobody uses, the one used last at the end.
+	// idle holds the idle connections, the most recently used last.
 	idle []idleConn
-	// used counts the connections that run something, by team.
-	used map[string]int
-	// opening counts the connections that are being opened, by team.
+	// inUse is the number of connections in use, by team.
+	inUse map[string]int
+	// opening is the number of connections being opened, by team.
 	opening map[string]int
 	waiting []Waiter
-	// quietUntil is when the next connection may be tried.
-	quietUntil time.Duration
-	// crowded tells that the member answered the newest attempt, but had too
-	// many connections.
-	crowded bool
-	counts  Counts
-	// popular tells which teams are likely to ask again.
-	popular *popularity
-	// hold is the mean time that a connection is kept, run that of one answer of
-	// the member, its own queue included.
-	hold, run time.Duration
+	// backoffUntil is when the next connection may be opened.
+	backoffUntil time.Duration
+	// memberAtLimit is set if the member refused the most recent attempt because its
+	// connection limit was reached.
+	memberAtLimit bool
+	counts        Counts
+	// demand estimates which teams are likely to need a connection again.
+	demand *teamDemand
+	// meanHoldTime is the mean time that a statement holds a connection;
+	// meanResponseTime is that of one response of the member, including its queue.
+	meanHoldTime, meanResponseTime time.Duration
 }
 
 // New returns an empty pool.
 func New(limits Limits) *Pool {
-	return &Pool{limits: limits, used: map[string]int{}, opening: map[string]int{}, popular: newPopularity(), hold: firstHold}
+	return &Pool{limits: limits, inUse: map[string]int{}, opening: map[string]int{}, demand: newTeamDemand(), meanHoldTime: initialMeanHoldTime}
 }
 
-// SetLimits changes the limits from the next decision on.
+// SetLimits changes the limits for future decisions.
 func (p *Pool) SetLimits(l Limits) { p.limits = l }
 
-// Open returns the number of connections, those being opened included.
-func (p *Pool) Open() int { return len(p.idle) + p.InUse() + p.beingOpened() }
+// Open returns the number of connections, including those being opened.
+func (p *Pool) Open() int { return len(p.idle) + p.InUse() + p.openingCount() }
 
-// beingOpened returns the number of connections that are being opened.
-func (p *Pool) beingOpened() int { return total(p.opening) }
+func (p *Pool) openingCount() int { return total(p.opening) }
 
 // total returns the sum over all teams.
 func total(byTeam map[string]int) int {
@@ -119,78 +111,77 @@
 	return sum
 }
 
-// less takes one off a team's count.
-func less(byTeam map[string]int, team string) {
+// decrement decreases a team's count and removes the team at zero.
+func decrement(byTeam map[string]int, team string) {
 	byTeam[team]--
 	if byTeam[team] == 0 {
 		delete(byTeam, team)
 	}
 }
 
-// busy returns the most connections that may run something at once.
-func (p *Pool) busy() int {
-	if p.limits.Busy > 0 {
-		return min(p.limits.Busy, p.limits.Max)
+// maxActive returns the maximum number of connections in use at once.
+func (p *Pool) maxActive() int {
+	if p.limits.MaxActive > 0 {
+		return min(p.limits.MaxActive, p.limits.MaxOpen)
 	}
-	return p.limits.Max
+	return p.limits.MaxOpen
 }
 
-// hasRoom reports whether one more connection may run something.
-func (p *Pool) hasRoom() bool { return p.InUse()+p.beingOpened() < p.busy() }
+// belowMaxActive reports whether one more connection may be used or opened for use.
+func (p *Pool) belowMaxActive() bool { return p.InUse()+p.openingCount() < p.maxActive() }
 
-// InUse returns the number of connections that run something.
-func (p *Pool) InUse() int { return total(p.used) }
+// InUse returns the number of connections in use.
+func (p *Pool) InUse() int { return total(p.inUse) }
 
-// Exhausted reports whether every connection that may run something is in use.
-func (p *Pool) Exhausted() bool { return p.InUse() >= p.busy() }
+// Exhausted reports whether the maximum number of connections is in use.
+func (p *Pool) Exhausted() bool { return p.InUse() >= p.maxActive() }
 
-// Idle returns the number of connections that nobody uses.
+// Idle returns the number of idle connections.
 func (p *Pool) Idle() int { return len(p.idle) }
 
-// Waiting returns the number of statements that wait.
+// Waiting returns the number of waiting statements.
 func (p *Pool) Waiting() int { return len(p.waiting) }
 
-// Verdict says what became of a request for a connection.
-type Verdict uint8
+// Outcome is the result of a request for a connection.
+type Outcome uint8
 
-// The verdicts.
 const (
-	// Granted means that an idle connection is taken.
-	Granted Verdict = iota
-	// Queued means that the waiter is told later.
+	// Granted means that an idle connection was taken.
+	Granted Outcome = iota
+	// Queued means that the statement waits; a connection is assigned to it later.
 	Queued
 	// Refused means that the wait would be too long; nothing is queued.
 	Refused
 )
 
-// Decision is the answer to a request.
+// Decision is the answer to a request for a connection.
 type Decision struct {
-	Verdict Verdict
+	Outcome Outcome
 	Conn    ConnID
-	// RetryAfter is set on a refusal: the wait that was expected.
+	// RetryAfter is the expected wait. It is set on a refusal.
 	RetryAfter time.Duration
 }
 
-// Acquire asks for a connection. One that has the session values already that the
-// statement needs is preferred.
+// Acquire requests a connection, preferably one that already has the required
+// session values.
 func (p *Pool) Acquire(w Waiter, now time.Duration) Decision {
-	p.popular.asked(w.Team, now)
-	if at, found := p.fitting(w); found && !p.Exhausted() {
-		return Decision{Verdict: Granted, Conn: p.takeIdle(at)}
+	p.demand.record(w.Team, now)
+	if index, found := p.findIdle(w); found && !p.Exhausted() {
+		return Decision{Outcome: Granted, Conn: p.useIdle(index)}
 	}
 	wait := p.expectedWait(w, now)
-	if len(p.waiting) >= p.limits.MaxWaiting || now+wait > p.latest(w) {
-		return Decision{Verdict: Refused, RetryAfter: wait}
+	if len(p.waiting) >= p.limits.MaxWaiting || now+wait > p.latestUsefulStart(w) {
+		return Decision{Outcome: Refused, RetryAfter: wait}
 	}
 	p.waiting = append(p.waiting, w)
-	return Decision{Verdict: Queued}
+	return Decision{Outcome: Queued}
 }
 
-// expectedWait estimates the wait of a statement that joins the queue now.
-// Only what is served before it counts: an urgent statement must not be
-// refused because of many that will let it pass.
+// expectedWait estimates the wait of a statement that joins the queue now. Only
+// waiters that are served before it count, so that an urgent statement is not
+// refused because of a long queue of less urgent ones.
 func (p *Pool) expectedWait(w Waiter, now time.Duration) time.Duration {
-	if p.hasRoom() {
+	if p.belowMaxActive() {
 		return 0
 	}
 	ahead := 0
@@ -199,130 +190,133 @@
 			ahead++
 		}
 	}
-	return p.hold * time.Duration(ahead+1) / time.Duration(max(p.InUse()+p.beingOpened(), 1))
+	return p.meanHoldTime * time.Duration(ahead+1) / time.Duration(max(p.InUse()+p.openingCount(), 1))
 }
 
-// RetryOpenAt returns when ShouldOpen may change its answer because a pause
-// ends, or zero while none is under way.
+// RetryOpenAt returns when the current backoff ends and BeginOpen should be called
+// again, or zero if there is no backoff.
 func (p *Pool) RetryOpenAt(now time.Duration) time.Duration {
-	if now >= p.quietUntil {
+	if now >= p.backoffUntil {
 		return 0
 	}
-	return p.quietUntil
+	return p.backoffUntil
 }
 
-// Opened adds a connection that ShouldOpen asked for and hands it to a waiter.
+// Opened adds a connection requested by BeginOpen and assigns it to a waiter, if
+// there is one for it.
 func (p *Pool) Opened(c Conn, now time.Duration) (Waiter, bool) {
-	less(p.opening, c.Team)
-	p.crowded = false
-	return p.pass(c, now)
+	decrement(p.opening, c.Team)
+	p.memberAtLimit = false
+	return p.assignOrIdle(c, now)
 }
 
-// OpenFailed notes that a connection could not be opened in the name of a team.
-// Crowded tells that the member answered and has too many.
-func (p *Pool) OpenFailed(team string, crowded bool, now time.Duration) {
-	less(p.opening, team)
-	p.crowded = crowded
-	pause := failurePause
-	if crowded {
-		pause = crowdedPause
+// OpenFailed records that a connection for a team could not be opened. atLimit is
+// set if the member refused it because its connection limit was reached.
+func (p *Pool) OpenFailed(team string, atLimit bool, now time.Duration) {
+	decrement(p.opening, team)
+	p.memberAtLimit = atLimit
+	backoff := failureBackoff
+	if atLimit {
+		backoff = atLimitBackoff
 	}
-	p.quietUntil = max(p.quietUntil, now+pause)
+	p.backoffUntil = max(p.backoffUntil, now+backoff)
 }
 
-// Released returns a connection that is fit for use and hands it to a waiter if
-// there is one for it.
+// Released returns a usable connection to the pool after it was held for the given
+// time, and assigns it to a waiter if there is one for it.
 func (p *Pool) Released(c Conn, held, now time.Duration) (Waiter, bool) {
-	less(p.used, c.Team)
-	p.hold += time.Duration(smoothing * float64(held-p.hold))
-	w, found := p.pass(c, now)
+	decrement(p.inUse, c.Team)
+	p.meanHoldTime += time.Duration(meanSampleWeight * float64(held-p.meanHoldTime))
+	w, found := p.assignOrIdle(c, now)
 	if found {
-		p.counts.Found++
+		p.counts.Reused++
 	}
 	return w, found
 }
 
-// Closed notes that a connection of a team that was in use is gone.
-func (p *Pool) Closed(team string) { less(p.used, team) }
+// Closed records that a connection of a team was closed while in use.
+func (p *Pool) Closed(team string) { decrement(p.inUse, team) }
 
-// pass gives a free connection to the first waiter that may use it, or keeps it
-// idle.
-func (p *Pool) pass(c Conn, now time.Duration) (Waiter, bool) {
-	at, found := p.successor(c.Team, now)
+// assignOrIdle assigns a free connection to the next waiter that may use it, or
+// keeps it idle.
+func (p *Pool) assignOrIdle(c Conn, now time.Duration) (Waiter, bool) {
+	index, found := p.waiterForFreed(c.Team, now)
 	if !found {
-		p.idle = append(p.idle, idleConn{Conn: c, since: now})
+		p.idle = append(p.idle, idleConn{Conn: c, idleSince: now})
 		return Waiter{}, false
 	}
-	p.used[c.Team]++
-	return p.takeWaiter(at), true
+	p.inUse[c.Team]++
+	return p.takeWaiter(index), true
 }
 
-// successor returns the waiter that a free connection of a team goes to. It
-// returns false where it goes to none: there is none for it, or one of another
-// team has waited for so long that the connection is to be closed for it.
-func (p *Pool) successor(team string, now time.Duration) (int, bool) {
-	at, found := first(p.waiting, now, func(w Waiter) bool { return w.fits(team) })
+// waiterForFreed returns the waiter that a freed connection of a team is assigned
+// to. It returns false if there is none, or if the connection is to be evicted
+// for a more urgent waiter of another team.
+func (p *Pool) waiterForFreed(team string, now time.Duration) (int, bool) {
+	index, found := nextWaiter(p.waiting, now, func(w Waiter) bool { return w.canUse(team) })
 	if !found || p.Exhausted() {
 		return 0, false
 	}
-	if p.beingOpened() == 0 && p.Open()+1 >= p.busy() {
-		other, waits := first(p.waiting, now, func(w Waiter) bool { return !w.fits(team) })
-		if waits && p.waiting[other].passes(p.waiting[at], now) {
+	if p.openingCount() == 0 && p.Open()+1 >= p.maxActive() {
+		other, otherFound := nextWaiter(p.waiting, now, func(w Waiter) bool { return !w.canUse(team) })
+		if otherFound && p.waiting[other].precedesWithSwitch(p.waiting[index], now) {
 			return 0, false
 		}
 	}
-	return at, true
+	return index, true
 }
 
-// lateCheck is how often a late statement is judged anew.
-const lateCheck = 50 * time.Millisecond
+// lateRecheckInterval is how often WaitUntil is evaluated for a late statement.
+const lateRecheckInterval = 50 * time.Millisecond
 
-// Ran notes how long the member took for an answer.
-func (p *Pool) Ran(d time.Duration) { p.run += time.Duration(smoothing * float64(d-p.run)) }
+// ObserveResponse records a response time of the member.
+func (p *Pool) ObserveResponse(responseTime time.Duration) {
+	p.meanResponseTime += time.Duration(meanSampleWeight * float64(responseTime-p.meanResponseTime))
+}
 
-// latest returns until when it is of use to start a statement. A member under
-// load takes longer, with its queue; twice the mean covers nine answers of ten.
-// What starts later takes a slot for an answer that its caller does not wait
-// for. A statement that is on time is started in any case.
-func (p *Pool) latest(w Waiter) time.Duration {
-	return max(w.FreshBy, w.StartBy-2*p.run)
+// latestUsefulStart returns the latest time at which starting a statement is useful.
+// Response times vary, so twice the mean is reserved before the start deadline: a
+// response that comes later wastes a slot. A statement that is on time is always
+// started.
+func (p *Pool) latestUsefulStart(w Waiter) time.Duration {
+	return max(w.OnTimeUntil, w.StartDeadline-2*p.meanResponseTime)
 }
 
-// KeepUntil returns until when a queued statement waits before it is judged
-// again. It returns false when the statement is to be refused: its time is
-// over, or it cannot be served within it even if only late ones were served
-// from now on. The caller uses up one of a few tries by a refusal, so a
-// statement that may still be served is not refused.
-func (p *Pool) KeepUntil(w Waiter, now time.Duration) (time.Duration, bool) {
+// WaitUntil returns until when a queued statement waits before this is evaluated
+// again. It returns false if the statement is to be refused, because it cannot
+// be started in time. Late statements are kept while they can still be served,
+// because callers retry only a few times.
+func (p *Pool) WaitUntil(w Waiter, now time.Duration) (time.Duration, bool) {
 	switch {
-	case now < w.FreshBy:
-		return w.FreshBy, true
-	case now >= p.latest(w) || p.hopeless(w, now):
+	case now < w.OnTimeUntil:
+		return w.OnTimeUntil, true
+	case now >= p.latestUsefulStart(w) || p.cannotServeInTime(w, now):
 		return 0, false
 	default:
-		return min(p.latest(w), now+lateCheck), true
+		return min(p.latestUsefulStart(w), now+lateRecheckInterval), true
 	}
 }
 
-// hopeless reports whether a late statement cannot be served in its time.
-func (p *Pool) hopeless(w Waiter, now time.Duration) bool {
+// cannotServeInTime reports whether a late statement cannot be started in time
+// even if only late statements were served from now on.
+func (p *Pool) cannotServeInTime(w Waiter, now time.Duration) bool {
 	usable := len(p.idle) + p.InUse()
 	if usable == 0 {
-		// A member that turns connections away still holds those of hosts that
-		// lost power, for seconds. Of one that does not answer nothing is hoped.
-		return !p.crowded
+		// A member at its connection limit soon drops the connections of crashed
+		// hosts. An unreachable member gives no reason to wait.
+		return !p.memberAtLimit
 	}
 	ahead := 0
 	for _, v := range p.waiting {
-		if v.FreshBy < now && v.before(w, now) {
+		if v.OnTimeUntil < now && v.before(w, now) {
 			ahead++
 		}
 	}
-	return now+p.hold*time.Duration(ahead+1)/time.Duration(usable) > p.latest(w)
+	return now+p.meanHoldTime*time.Duration(ahead+1)/time.Duration(usable) > p.latestUsefulStart(w)
 }
 
-// Leave removes a waiter. It reports whether the waiter was still queued.
-func (p *Pool) Leave(id uint64) bool {
+// CancelWait removes a waiter. It reports whether the waiter was still queued.
+func (p *Pool) CancelWait(id uint64) bool {
 	for i, w := range p.waiting {
 		if w.ID == id {
 			p.takeWaiter(i)
--- a/core/connpool/pool_test.go
+++ b/core/connpool/pool_test.go
@@ -15,118 +15,114 @@
 
 const ms = time.Millisecond
 
-var small = connpool.Limits{Max: 3, Fair: 1, MaxWaiting: 4}
+var smallLimits = connpool.Limits{MaxOpen: 3, FairShare: 1, MaxWaiting: 4}
 
-func waiter(id uint64, priority int, aim, start time.Duration) connpool.Waiter {
-	return connpool.Waiter{ID: id, Priority: priority, AimBy: aim, FreshBy: start, StartBy: start}
+func waiter(id uint64, priority int, target, start time.Duration) connpool.Waiter {
+	return connpool.Waiter{ID: id, Priority: priority, TargetDeadline: target, OnTimeUntil: start, StartDeadline: start}
 }
 
-// open brings a pool to n connections that are in use.
-func open(t *testing.T, p *connpool.Pool, n int) {
+// openInUse opens n connections that are in use.
+func openInUse(t *testing.T, p *connpool.Pool, n int) {
 	t.Helper()
 	for i := range n {
 		id := uint64(1000 + i)
-		require.Equal(t, connpool.Queued, p.Acquire(waiter(id, 0, time.Hour, time.Hour), 0).Verdict)
-		require.True(t, opens(p, 0))
+		require.Equal(t, connpool.Queued, p.Acquire(waiter(id, 0, time.Hour, time.Hour), 0).Outcome)
+		require.True(t, beginOpen(p, 0))
 		w, found := p.Opened(connpool.Conn{ID: connpool.ConnID(i + 1)}, 0)
 		require.True(t, found)
 		require.Equal(t, id, w.ID)
 	}
 }
 
-func TestOpensNoMoreThanIsWaitedFor(t *testing.T) {
-	p := connpool.New(small)
+func TestOpensNoMoreThanWaiting(t *testing.T) {
+	p := connpool.New(smallLimits)
 	p.Acquire(waiter(1, 0, time.Hour, time.Hour), 0)
-	require.True(t, opens(p, 0))
-	require.False(t, opens(p, 0))
+	require.True(t, beginOpen(p, 0))
+	require.False(t, beginOpen(p, 0))
 }
 
-// TestSurplusIsReturnedSoon replays a surge on a host and the quiet after it:
-// the connections above the host's share must be free for others before their
-// statements give up.
-func TestSurplusIsReturnedSoon(t *testing.T) {
-	p := connpool.New(small)
-	open(t, p, 3)
+// TestConnectionsAboveFairShareExpireSoon checks that after a load peak the connections
+// above the fair share are closed soon, so that other hosts can open theirs.
+func TestConnectionsAboveFairShareExpireSoon(t *testing.T) {
+	p := connpool.New(smallLimits)
+	openInUse(t, p, 3)
 	for id := range 3 {
 		p.Released(connpool.Conn{ID: connpool.ConnID(id + 1)}, 10*ms, 100*ms)
 	}
-	require.Equal(t, 250*ms, p.SurplusAt())
-	require.Empty(t, p.Surplus(249*ms))
-	require.Len(t, p.Surplus(250*ms), 2, "the fair share stays open")
-	require.Zero(t, p.SurplusAt())
+	require.Equal(t, 250*ms, p.NextIdleExpiry())
+	require.Empty(t, p.ExpireIdle(249*ms))
+	require.Len(t, p.ExpireIdle(250*ms), 2, "connections within the fair share stay open")
+	require.Zero(t, p.NextIdleExpiry())
 	require.Equal(t, 1, p.Open())
 }
 
-// TestCalmHostHoldsFewConnections replays the calm after a wave: what one
-// statement at a time does not need is closed within a second or so. Members
-// hold the connections of hosts that lose power for seconds.
-func TestCalmHostHoldsFewConnections(t *testing.T) {
-	p := connpool.New(connpool.Limits{Max: 7, Fair: 7, MaxWaiting: 10})
-	open(t, p, 7)
+// TestSpareConnectionsExpire checks that connections that a lightly loaded host does not
+// need are closed. Otherwise they use up the member's limit if the host crashes.
+func TestSpareConnectionsExpire(t *testing.T) {
+	p := connpool.New(connpool.Limits{MaxOpen: 7, FairShare: 7, MaxWaiting: 10})
+	openInUse(t, p, 7)
 	for id := range 7 {
 		p.Released(connpool.Conn{ID: connpool.ConnID(id + 1)}, 10*ms, 0)
 	}
 	now := time.Duration(0)
 	for ; now < 1500*ms; now += 100 * ms {
 		d := p.Acquire(waiter(1, 0, time.Hour, time.Hour), now)
-		require.Equal(t, connpool.Granted, d.Verdict)
+		require.Equal(t, connpool.Granted, d.Outcome)
 		p.Released(connpool.Conn{ID: d.Conn}, 10*ms, now+10*ms)
-		p.Surplus(now + 10*ms)
+		p.ExpireIdle(now + 10*ms)
 	}
 	require.Equal(t, 1, p.Open())
-	require.Zero(t, p.SurplusAt())
-	require.Empty(t, p.Surplus(now+time.Second), "the last one stays")
+	require.Zero(t, p.NextIdleExpiry())
+	require.Empty(t, p.ExpireIdle(now+time.Second), "the last connection stays open")
 }
 
-// TestCrowdedMemberIsLeftAlone: every connection that a member turns away is
-// paid for by all.
-func TestCrowdedMemberIsLeftAlone(t *testing.T) {
-	p := connpool.New(small)
+// TestBacksOffFromMemberAtLimit checks the pause after a member refused a connection:
+// every refused attempt costs the member time.
+func TestBacksOffFromMemberAtLimit(t *testing.T) {
+	p := connpool.New(smallLimits)
 	p.Acquire(waiter(1, 0, time.Hour, time.Hour), 0)
-	require.True(t, opens(p, 0))
+	require.True(t, beginOpen(p, 0))
 	p.OpenFailed("", true, 0)
-	require.False(t, opens(p, 50*ms))
+	require.False(t, beginOpen(p, 50*ms))
 	require.Equal(t, 100*ms, p.RetryOpenAt(50*ms))
-	require.True(t, opens(p, 100*ms))
+	require.True(t, beginOpen(p, 100*ms))
 }
 
-// TestOverloadIsRefusedAtOnce replays a surge of several times what the
-// connections carry: what cannot start in time is refused when it arrives, not
-// when its time is over.
-func TestOverloadIsRefusedAtOnce(t *testing.T) {
-	p := connpool.New(connpool.Limits{Max: 1, Fair: 1, MaxWaiting: 1000})
-	open(t, p, 1)
+// TestOverloadIsRefusedImmediately checks that statements that cannot start in time are
+// refused on arrival rather than after their deadline.
+func TestOverloadIsRefusedImmediately(t *testing.T) {
+	p := connpool.New(connpool.Limits{MaxOpen: 1, FairShare: 1, MaxWaiting: 1000})
+	openInUse(t, p, 1)
 	refused := 0
 	for i := range 100 {
 		d := p.Acquire(waiter(uint64(i), 1, 300*ms, 300*ms), 0)
-		if d.Verdict == connpool.Refused {
+		if d.Outcome == connpool.Refused {
 			require.Greater(t, d.RetryAfter, 300*ms)
 			refused++
 		}
 	}
-	require.Equal(t, 10, p.Waiting(), "300 ms hold ten statements of 30 ms")
+	require.Equal(t, 10, p.Waiting(), "ten statements of 30 ms fit into 300 ms")
 	require.Equal(t, 90, refused)
 }
 
-// TestUrgentStatementIsNotRefusedBehindOthers replays a primary that has to
-// serve its lagging replicas' reads too: a short write of higher priority is
-// served next, so that the length of the queue says nothing about its wait.
-func TestUrgentStatementIsNotRefusedBehindOthers(t *testing.T) {
-	p := connpool.New(connpool.Limits{Max: 1, Fair: 1, MaxWaiting: 1000})
-	open(t, p, 1)
+// TestLowerPriorityQueueDoesNotCauseRefusal checks that a statement of higher priority
+// is not refused because of a long queue of lower priority, and is served next.
+func TestLowerPriorityQueueDoesNotCauseRefusal(t *testing.T) {
+	p := connpool.New(connpool.Limits{MaxOpen: 1, FairShare: 1, MaxWaiting: 1000})
+	openInUse(t, p, 1)
 	for i := range 100 {
 		p.Acquire(waiter(uint64(i), 2, 500*ms, 500*ms), 0)
 	}
-	require.Equal(t, connpool.Queued, p.Acquire(waiter(200, 1, 300*ms, 300*ms), 0).Verdict)
+	require.Equal(t, connpool.Queued, p.Acquire(waiter(200, 1, 300*ms, 300*ms), 0).Outcome)
 	w, found := p.Released(connpool.Conn{ID: 1}, 10*ms, 10*ms)
 	require.True(t, found)
 	require.Equal(t, uint64(200), w.ID)
 }
 
-// keepsUntil asks until the pool gives a statement up, and returns when.
-func keepsUntil(p *connpool.Pool, w connpool.Waiter, now time.Duration) time.Duration {
+// refusedAt evaluates WaitUntil until it refuses the statement, and returns when.
+func refusedAt(p *connpool.Pool, w connpool.Waiter, now time.Duration) time.Duration {
 	for {
-		until, keep := p.KeepUntil(w, now)
+		until, keep := p.WaitUntil(w, now)
 		if !keep {
 			return now
 		}
@@ -134,75 +130,73 @@
 	}
 }
 
-// TestHeldWhileNothingCanRun replays the return of all hosts after a power
-// loss: until the member drops the dead hosts' connections none can be had.
-func TestHeldWhileNothingCanRun(t *testing.T) {
-	p := connpool.New(small)
-	w := connpool.Waiter{ID: 1, FreshBy: 100 * ms, StartBy: 700 * ms}
+// TestWaitsWhileMemberIsAtLimit checks that statements wait while the member refuses
+// connections because of its limit, as when all hosts restart at once, but not while
+// the member is unreachable.
+func TestWaitsWhileMemberIsAtLimit(t *testing.T) {
+	p := connpool.New(smallLimits)
+	w := connpool.Waiter{ID: 1, OnTimeUntil: 100 * ms, StartDeadline: 700 * ms}
 	p.Acquire(w, 0)
-	require.True(t, opens(p, 0))
+	require.True(t, beginOpen(p, 0))
 	p.OpenFailed("", true, 0)
-	require.Equal(t, 700*ms, keepsUntil(p, w, 0))
-	require.True(t, opens(p, 100*ms))
+	require.Equal(t, 700*ms, refusedAt(p, w, 0))
+	require.True(t, beginOpen(p, 100*ms))
 	p.OpenFailed("", false, 100*ms)
-	require.Equal(t, 100*ms, keepsUntil(p, w, 0), "a member that does not answer is no reason to hold")
+	require.Equal(t, 100*ms, refusedAt(p, w, 0), "an unreachable member is not waited for")
 }
 
-// TestLateStatementIsKeptWhileItCanBeServed: a statement that missed its turn
-// in a short surge is served after it, within its route's time, because its
-// caller has few tries.
+// TestLateStatementIsKeptWhileItCanBeServed checks that a late statement waits until its
+// start deadline, because its caller retries only a few times.
 func TestLateStatementIsKeptWhileItCanBeServed(t *testing.T) {
-	p := connpool.New(connpool.Limits{Max: 1, Fair: 1, MaxWaiting: 100})
-	open(t, p, 1)
-	w := connpool.Waiter{ID: 1, AimBy: 200 * ms, FreshBy: 100 * ms, StartBy: 500 * ms}
+	p := connpool.New(connpool.Limits{MaxOpen: 1, FairShare: 1, MaxWaiting: 100})
+	openInUse(t, p, 1)
+	w := connpool.Waiter{ID: 1, TargetDeadline: 200 * ms, OnTimeUntil: 100 * ms, StartDeadline: 500 * ms}
 	p.Acquire(w, 0)
-	require.Equal(t, 500*ms, keepsUntil(p, w, 0))
+	require.Equal(t, 500*ms, refusedAt(p, w, 0))
 }
 
-// TestLateStatementIsRefusedOnceItCannotBeServed replays a surge that leaves
-// more late statements than there is time for: with 30 ms each, 13 fit into
-// the 400 ms that are left, so the others are told at once.
+// TestLateStatementIsRefusedOnceItCannotBeServed checks that late statements are refused
+// as soon as too many are queued: with 30 ms each, 13 fit into the remaining 400 ms.
 func TestLateStatementIsRefusedOnceItCannotBeServed(t *testing.T) {
-	p := connpool.New(connpool.Limits{Max: 1, Fair: 1, MaxWaiting: 100})
-	open(t, p, 1)
+	p := connpool.New(connpool.Limits{MaxOpen: 1, FairShare: 1, MaxWaiting: 100})
+	openInUse(t, p, 1)
 	var queued []connpool.Waiter
 	for i := range uint64(15) {
-		w := connpool.Waiter{ID: i, AimBy: 200*ms + time.Duration(i), FreshBy: 100 * ms, StartBy: 500 * ms}
-		require.Equal(t, connpool.Queued, p.Acquire(w, 0).Verdict)
+		w := connpool.Waiter{ID: i, TargetDeadline: 200*ms + time.Duration(i), OnTimeUntil: 100 * ms, StartDeadline: 500 * ms}
+		require.Equal(t, connpool.Queued, p.Acquire(w, 0).Outcome)
 		queued = append(queued, w)
 	}
 	kept := 0
 	for _, w := range queued {
-		if _, keep := p.KeepUntil(w, 101*ms); keep {
+		if _, keep := p.WaitUntil(w, 101*ms); keep {
 			kept++
 		}
 	}
 	require.Equal(t, 13, kept)
 }
 
-// TestLateStatementIsNotStartedInVain replays an overloaded member whose own
-// queue takes 130 ms: an answer that comes after the route's timeout is of no
-// use, and has taken a slot from one that would be.
-func TestLateStatementIsNotStartedInVain(t *testing.T) {
-	p := connpool.New(connpool.Limits{Max: 1, Fair: 1, MaxWaiting: 100})
-	open(t, p, 1)
+// TestLateStatementIsNotStartedPastUsefulTime checks that a late statement is refused if
+// the member's response time of 130 ms makes a response in time unlikely.
+func TestLateStatementIsNotStartedPastUsefulTime(t *testing.T) {
+	p := connpool.New(connpool.Limits{MaxOpen: 1, FairShare: 1, MaxWaiting: 100})
+	openInUse(t, p, 1)
 	for range 200 {
-		p.Ran(130 * ms)
+		p.ObserveResponse(130 * ms)
 	}
-	w := connpool.Waiter{ID: 1, AimBy: 500 * ms, FreshBy: 250 * ms, StartBy: 630 * ms}
+	w := connpool.Waiter{ID: 1, TargetDeadline: 500 * ms, OnTimeUntil: 250 * ms, StartDeadline: 630 * ms}
 	p.Acquire(w, 0)
-	until := keepsUntil(p, w, 0)
-	require.Greater(t, until, w.FreshBy)
+	until := refusedAt(p, w, 0)
+	require.Greater(t, until, w.OnTimeUntil)
 	require.LessOrEqual(t, until, 370*ms)
-	w.StartBy = 300 * ms
-	require.Equal(t, 250*ms, keepsUntil(p, w, 0), "in its turn it is started in any case")
+	w.StartDeadline = 300 * ms
+	require.Equal(t, 250*ms, refusedAt(p, w, 0), "an on-time statement is always started")
 }
 
 func TestOrderOfService(t *testing.T) {
-	p := connpool.New(connpool.Limits{Max: 1, Fair: 1, MaxWaiting: 10})
-	open(t, p, 1)
+	p := connpool.New(connpool.Limits{MaxOpen: 1, FairShare: 1, MaxWaiting: 10})
+	openInUse(t, p, 1)
 	late := waiter(1, 2, 50*ms, time.Hour)
-	late.FreshBy = 50 * ms
+	late.OnTimeUntil = 50 * ms
 	p.Acquire(late, 0)
 	p.Acquire(waiter(2, 2, 200*ms, time.Hour), 0)
 	p.Acquire(waiter(3, 2, 150*ms, time.Hour), 0)
@@ -213,39 +207,39 @@
 		require.True(t, found)
 		served = append(served, w.ID)
 	}
-	require.Equal(t, []uint64{4, 3, 2, 1}, served, "priority, then on time by urgency, then late")
+	require.Equal(t, []uint64{4, 3, 2, 1}, served, "order must be: priority, on-time by deadline, late")
 }
 
-func TestPrefersAConnectionWithTheSameValues(t *testing.T) {
-	p := connpool.New(connpool.Limits{Max: 3, Fair: 3, MaxWaiting: 4})
-	open(t, p, 3)
-	p.Released(connpool.Conn{ID: 1, Values: "x"}, ms, ms)
-	p.Released(connpool.Conn{ID: 2, Values: "y"}, ms, ms)
-	p.Released(connpool.Conn{ID: 3, Values: "z"}, ms, ms)
-	d := p.Acquire(connpool.Waiter{ID: 9, Values: "y", StartBy: time.Hour}, ms)
+func TestPrefersConnectionWithSameSessionValues(t *testing.T) {
+	p := connpool.New(connpool.Limits{MaxOpen: 3, FairShare: 3, MaxWaiting: 4})
+	openInUse(t, p, 3)
+	p.Released(connpool.Conn{ID: 1, SessionValues: "x"}, ms, ms)
+	p.Released(connpool.Conn{ID: 2, SessionValues: "y"}, ms, ms)
+	p.Released(connpool.Conn{ID: 3, SessionValues: "z"}, ms, ms)
+	d := p.Acquire(connpool.Waiter{ID: 9, SessionValues: "y", StartDeadline: time.Hour}, ms)
 	require.Equal(t, connpool.ConnID(2), d.Conn)
-	d = p.Acquire(connpool.Waiter{ID: 10, Values: "none", StartBy: time.Hour}, ms)
-	require.Equal(t, connpool.ConnID(3), d.Conn, "else the one used last")
+	d = p.Acquire(connpool.Waiter{ID: 10, SessionValues: "none", StartDeadline: time.Hour}, ms)
+	require.Equal(t, connpool.ConnID(3), d.Conn, "falls back to the most recently used")
 }
 
-// TestCountsAlwaysAddUp runs random histories: no connection is handed to two,
-// the limit holds, and nobody waits while a connection idles.
-func TestCountsAlwaysAddUp(t *testing.T) {
+// TestPoolInvariants applies random operations and checks that no connection is assigned
+// twice, that the limit holds, and that no statement waits while a connection is idle.
+func TestPoolInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		p := connpool.New(small)
+		p := connpool.New(smallLimits)
 		now := time.Duration(0)
 		next := uint64(0)
-		using := map[connpool.ConnID]bool{}
+		inUse := map[connpool.ConnID]bool{}
 		opening := 0
-		give := func(id connpool.ConnID) {
-			if using[id] {
-				t.Fatalf("connection %d is handed out twice", id)
+		take := func(id connpool.ConnID) {
+			if inUse[id] {
+				t.Fatalf("connection %d is assigned twice", id)
 			}
-			using[id] = true
+			inUse[id] = true
 		}
-		anyUsed := func() connpool.ConnID {
-			ids := make([]connpool.ConnID, 0, len(using))
-			for id := range using {
+		lowestInUse := func() connpool.ConnID {
+			ids := make([]connpool.ConnID, 0, len(inUse))
+			for id := range inUse {
 				ids = append(ids, id)
 			}
 			low := ids[0]
@@ -259,39 +253,39 @@
 			next++
 			switch op := rapid.IntRange(0, 5).Draw(t, "step"); {
 			case op <= 1:
-				if d := p.Acquire(waiter(next, int(next%3), now+100*ms, now+time.Second), now); d.Verdict == connpool.Granted {
-					give(d.Conn)
+				if d := p.Acquire(waiter(next, int(next%3), now+100*ms, now+time.Second), now); d.Outcome == connpool.Granted {
+					take(d.Conn)
 				}
-				for opens(p, now) {
+				for beginOpen(p, now) {
 					opening++
 				}
 			case op == 2 && opening > 0:
 				opening--
 				if rapid.Bool().Draw(t, "fails") {
-					p.OpenFailed("", rapid.Bool().Draw(t, "crowded"), now)
+					p.OpenFailed("", rapid.Bool().Draw(t, "at limit"), now)
 				} else if _, found := p.Opened(connpool.Conn{ID: connpool.ConnID(next)}, now); found {
-					give(connpool.ConnID(next))
+					take(connpool.ConnID(next))
 				}
-			case op == 3 && len(using) > 0:
-				id := anyUsed()
-				delete(using, id)
+			case op == 3 && len(inUse) > 0:
+				id := lowestInUse()
+				delete(inUse, id)
 				if _, found := p.Released(connpool.Conn{ID: id}, ms, now); found {
-					give(id)
+					take(id)
 				}
-			case op == 4 && len(using) > 0:
-				delete(using, anyUsed())
+			case op == 4 && len(inUse) > 0:
+				delete(inUse, lowestInUse())
 				p.Closed("")
 			case op == 5:
-				p.Surplus(now)
+				p.ExpireIdle(now)
 			}
-			if p.InUse() != len(using) {
-				t.Fatalf("%d in use, the pool counts %d", len(using), p.InUse())
+			if p.InUse() != len(inUse) {
+				t.Fatalf("%d in use, the pool counts %d", len(inUse), p.InUse())
 			}
-			if p.Open() > small.Max {
+			if p.Open() > smallLimits.MaxOpen {
 				t.Fatalf("%d connections are open", p.Open())
 			}
 			if p.Idle() > 0 && p.Waiting() > 0 {
-				t.Fatal("a statement waits beside an idle connection")
+				t.Fatal("a statement waits while a connection is idle")
 			}
 		}
 	})
--- a/core/connpool/reclaim.go
+++ b/core/connpool/reclaim.go
@@ -2,28 +2,27 @@
 
 import "time"
 
-// RestLimit is how long an open transaction may rest, with nothing under way,
-// while other statements wait for its connection. Load pattern: callers begin
-// transactions, write, and then do nothing; a hundred of them take most of a
-// primary's connections until the operators' limit ends them, many seconds
-// later. Callers at work pause for a fraction of a second between statements.
-const RestLimit = time.Second
+// MaxIdleInTransaction is how long a transaction may be idle while statements wait
+// for a connection. It bounds how long callers that leave transactions open can
+// exhaust the connections of a primary.
+const MaxIdleInTransaction = time.Second
 
-// Resting is an open transaction between two of its statements.
-type Resting struct {
+// IdleTransaction is an open transaction without a running statement.
+type IdleTransaction struct {
 	ID uint64
-	// Since is when its last statement ended.
-	Since time.Duration
+	// IdleSince is when its last statement ended.
+	IdleSince time.Duration
 }
 
-// Reclaim picks the transaction to roll back for those that wait: the one that
-// has rested longest. It returns false while none has rested for too long.
-func Reclaim(resting []Resting, now time.Duration) (Resting, bool) {
-	var longest Resting
+// ReclaimCandidate returns the transaction to roll back so that its connection can
+// be reused: the one that has been idle longest. It returns false if none has been
+// idle for longer than MaxIdleInTransaction.
+func ReclaimCandidate(idle []IdleTransaction, now time.Duration) (IdleTransaction, bool) {
+	var longest IdleTransaction
 	found := false
-	for _, r := range resting {
-		if now-r.Since > RestLimit && (!found || r.Since < longest.Since) {
-			longest, found = r, true
+	for _, tx := range idle {
+		if now-tx.IdleSince > MaxIdleInTransaction && (!found || tx.IdleSince < longest.IdleSince) {
+			longest, found = tx, true
 		}
 	}
 	return longest, found
--- a/core/connpool/reclaim_test.go
+++ b/core/connpool/reclaim_test.go
@@ -9,18 +9,18 @@
 	"github.com/dotterelswitch/dotterelswitch/core/connpool"
 )
 
-func TestTheLongestRestEndsFirst(t *testing.T) {
+func TestReclaimsLongestIdleTransaction(t *testing.T) {
 	now := 10 * time.Second
-	resting := []connpool.Resting{{ID: 1, Since: 9500 * ms}, {ID: 2, Since: 4 * time.Second}, {ID: 3, Since: 6 * time.Second}}
-	r, found := connpool.Reclaim(resting, now)
+	idle := []connpool.IdleTransaction{{ID: 1, IdleSince: 9500 * ms}, {ID: 2, IdleSince: 4 * time.Second}, {ID: 3, IdleSince: 6 * time.Second}}
+	r, found := connpool.ReclaimCandidate(idle, now)
 	require.True(t, found)
 	require.Equal(t, uint64(2), r.ID)
 }
 
-func TestCallersAtWorkKeepTheirTransactions(t *testing.T) {
+func TestKeepsTransactionsWithinIdleLimit(t *testing.T) {
 	now := 10 * time.Second
-	_, found := connpool.Reclaim([]connpool.Resting{{ID: 1, Since: now - connpool.RestLimit}}, now)
+	_, found := connpool.ReclaimCandidate([]connpool.IdleTransaction{{ID: 1, IdleSince: now - connpool.MaxIdleInTransaction}}, now)
 	require.False(t, found)
-	_, found = connpool.Reclaim(nil, now)
+	_, found = connpool.ReclaimCandidate(nil, now)
 	require.False(t, found)
 }
--- a/core/connpool/short_first_test.go
+++ b/core/connpool/short_first_test.go
@@ -9,29 +9,28 @@
 	"github.com/dotterelswitch/dotterelswitch/core/connpool"
 )
 
-// dearLoad offers one connection a third more than it can run for a while: five
-// short statements of 9 ms for each long one of 15 ms, whose target is shorter. It
-// returns how many of each were served on time. Extra is what is known of the long
-// ones.
-func dearLoad(extra time.Duration) (short, long int) {
-	const shortWork, longWork = 9 * time.Millisecond, 15 * time.Millisecond
-	const gap = 7500 * time.Microsecond
-	p := connpool.New(connpool.Limits{Max: 1, Fair: 1, MaxWaiting: 64})
+// mixedOverload offers one connection a third more work than it can run: five short
+// statements for each long one. It returns how many of each were served within
+// their latency target. extraTime is the ExtraTime of the long statements.
+func mixedOverload(extraTime time.Duration) (short, long int) {
+	const shortTime, longTime = 9 * time.Millisecond, 15 * time.Millisecond
+	const interval = 7500 * time.Microsecond
+	p := connpool.New(connpool.Limits{MaxOpen: 1, FairShare: 1, MaxWaiting: 64})
 	queued := map[uint64]connpool.Waiter{}
 	var next uint64
 	var freeAt time.Duration
-	var running, busy = false, connpool.Waiter{}
+	var running, current = false, connpool.Waiter{}
 	start := func(w connpool.Waiter, now time.Duration) {
-		running, busy = true, w
-		freeAt = now + shortWork
+		running, current = true, w
+		freeAt = now + shortTime
 		if w.Kind == "long" {
-			freeAt = now + longWork
+			freeAt = now + longTime
 		}
 	}
 	open := false
 	finish := func() {
-		if freeAt <= busy.AimBy {
-			if busy.Kind == "long" {
+		if freeAt <= current.TargetDeadline {
+			if current.Kind == "long" {
 				long++
 			} else {
 				short++
@@ -43,26 +42,26 @@
 			start(w, freeAt)
 		}
 	}
-	for now := time.Duration(0); now < 20*time.Second; now += gap {
+	for now := time.Duration(0); now < 20*time.Second; now += interval {
 		for running && freeAt <= now {
 			finish()
 		}
 		for id, w := range queued {
-			if now > w.StartBy && p.Leave(id) {
+			if now > w.StartDeadline && p.CancelWait(id) {
 				delete(queued, id)
 			}
 		}
 		next++
-		w := connpool.Waiter{ID: next, Priority: 2, Kind: "short", AimBy: now + time.Second, FreshBy: now + 500*time.Millisecond, StartBy: now + 800*time.Millisecond}
+		w := connpool.Waiter{ID: next, Priority: 2, Kind: "short", TargetDeadline: now + time.Second, OnTimeUntil: now + 500*time.Millisecond, StartDeadline: now + 800*time.Millisecond}
 		if next%6 == 0 {
-			w.Kind, w.Extra, w.AimBy, w.FreshBy, w.StartBy = "long", extra, now+800*time.Millisecond, now+400*time.Millisecond, now+1200*time.Millisecond
+			w.Kind, w.ExtraTime, w.TargetDeadline, w.OnTimeUntil, w.StartDeadline = "long", extraTime, now+800*time.Millisecond, now+400*time.Millisecond, now+1200*time.Millisecond
 		}
-		switch d := p.Acquire(w, now); d.Verdict {
+		switch d := p.Acquire(w, now); d.Outcome {
 		case connpool.Granted:
 			start(w, now)
 		case connpool.Queued:
 			queued[w.ID] = w
-			if !open && opens(p, now) {
+			if !open && beginOpen(p, now) {
 				open = true
 				if first, found := p.Opened(connpool.Conn{ID: 1}, now); found {
 					delete(queued, first.ID)
@@ -74,12 +73,12 @@
 	return short, long
 }
 
-// TestSlotServesMoreCallersWithShortStatements replays a primary that is offered a
-// third more than it can run.
-func TestSlotServesMoreCallersWithShortStatements(t *testing.T) {
-	shortBefore, longBefore := dearLoad(0)
-	short, long := dearLoad(6 * time.Millisecond)
-	require.Greater(t, short+long, shortBefore+longBefore)
-	require.Positive(t, long, "long ones are not shut out")
-	t.Logf("served on time: %d short and %d long before, %d and %d with their work known", shortBefore, longBefore, short, long)
+// TestShortStatementsFirstServesMoreOnTime checks that ordering by ExtraTime serves more
+// statements on time under overload, without starving the long ones.
+func TestShortStatementsFirstServesMoreOnTime(t *testing.T) {
+	shortUnweighted, longUnweighted := mixedOverload(0)
+	short, long := mixedOverload(6 * time.Millisecond)
+	require.Greater(t, short+long, shortUnweighted+longUnweighted)
+	require.Positive(t, long, "long statements are starved")
+	t.Logf("served on time: %d short and %d long without ExtraTime, %d and %d with it", shortUnweighted, longUnweighted, short, long)
 }
--- a/core/connpool/team_test.go
+++ b/core/connpool/team_test.go
@@ -11,138 +11,137 @@
 	"github.com/dotterelswitch/dotterelswitch/core/connpool"
 )
 
-// asking is a statement of a team that comes at time zero and has time.
-func asking(id uint64, team string) connpool.Waiter { return askingAt(id, team, 0) }
+// teamWaiter returns a statement of a team that arrives at time zero.
+func teamWaiter(id uint64, team string) connpool.Waiter { return teamWaiterAt(id, team, 0) }
 
-func askingAt(id uint64, team string, now time.Duration) connpool.Waiter {
-	return connpool.Waiter{ID: id, Team: team, AimBy: now + 500*ms, FreshBy: now + 250*ms, StartBy: now + time.Second}
+func teamWaiterAt(id uint64, team string, now time.Duration) connpool.Waiter {
+	return connpool.Waiter{ID: id, Team: team, TargetDeadline: now + 500*ms, OnTimeUntil: now + 250*ms, StartDeadline: now + time.Second}
 }
 
-// openFor has the pool open a connection for a waiter and end its statement.
+// openFor opens an idle connection for a team.
 func openFor(t *testing.T, p *connpool.Pool, id connpool.ConnID, team string, now time.Duration) {
 	t.Helper()
-	require.Equal(t, connpool.Queued, p.Acquire(askingAt(uint64(id), team, now), now).Verdict)
-	o, due := p.ShouldOpen(now)
+	require.Equal(t, connpool.Queued, p.Acquire(teamWaiterAt(uint64(id), team, now), now).Outcome)
+	request, due := p.BeginOpen(now)
 	require.True(t, due)
-	require.Equal(t, team, o.Team)
+	require.Equal(t, team, request.Team)
 	_, found := p.Opened(connpool.Conn{ID: id, Team: team}, now)
 	require.True(t, found)
 	_, found = p.Released(connpool.Conn{ID: id, Team: team}, ms, now)
 	require.False(t, found)
 }
 
-func TestConnectionServesItsTeamOnly(t *testing.T) {
-	p := connpool.New(connpool.Limits{Max: 2, Fair: 2, MaxWaiting: 4})
+func TestConnectionServesOnlyItsTeam(t *testing.T) {
+	p := connpool.New(connpool.Limits{MaxOpen: 2, FairShare: 2, MaxWaiting: 4})
 	openFor(t, p, 1, "schools", 0)
-	require.Equal(t, connpool.Queued, p.Acquire(asking(2, "clubs"), 0).Verdict)
-	d := p.Acquire(asking(3, "schools"), 0)
-	require.Equal(t, connpool.Granted, d.Verdict)
+	require.Equal(t, connpool.Queued, p.Acquire(teamWaiter(2, "clubs"), 0).Outcome)
+	d := p.Acquire(teamWaiter(3, "schools"), 0)
+	require.Equal(t, connpool.Granted, d.Outcome)
 	require.Equal(t, connpool.ConnID(1), d.Conn)
 }
 
-// TestLongestIdleGivesWay: of two teams that have asked once, the connection of the
-// one that did so longer ago is closed for a team that has none.
-func TestLongestIdleGivesWay(t *testing.T) {
-	p := connpool.New(connpool.Limits{Max: 2, Fair: 2, MaxWaiting: 4})
+// TestEvictsTeamWithOlderRequest checks that, of two teams with one request each, the
+// connection of the team whose request is older is evicted.
+func TestEvictsTeamWithOlderRequest(t *testing.T) {
+	p := connpool.New(connpool.Limits{MaxOpen: 2, FairShare: 2, MaxWaiting: 4})
 	openFor(t, p, 1, "schools", 0)
 	openFor(t, p, 2, "clubs", ms)
-	require.Equal(t, connpool.Queued, p.Acquire(asking(3, "colleges"), 2*ms).Verdict)
-	o, due := p.ShouldOpen(2 * ms)
+	require.Equal(t, connpool.Queued, p.Acquire(teamWaiter(3, "colleges"), 2*ms).Outcome)
+	request, due := p.BeginOpen(2 * ms)
 	require.True(t, due)
-	require.Equal(t, connpool.Order{Team: "colleges", Evicted: 1, Evicts: true}, o)
+	require.Equal(t, connpool.OpenRequest{Team: "colleges", Evicted: 1, Evicts: true}, request)
 	require.Equal(t, 2, p.Open())
 }
 
-// TestPopularTeamKeepsItsConnection: a team that calls every second keeps its
-// connection when another one has called once after it.
-func TestPopularTeamKeepsItsConnection(t *testing.T) {
-	p := connpool.New(connpool.Limits{Max: 2, Fair: 2, MaxWaiting: 4})
-	openFor(t, p, 1, "popular", 0)
+// TestEvictsTeamWithLeastDemand checks that a team with frequent requests keeps its
+// connection although another team has used one more recently.
+func TestEvictsTeamWithLeastDemand(t *testing.T) {
+	p := connpool.New(connpool.Limits{MaxOpen: 2, FairShare: 2, MaxWaiting: 4})
+	openFor(t, p, 1, "frequent", 0)
 	now := time.Duration(0)
 	for range 5 {
 		now += time.Second
-		require.Equal(t, connpool.Granted, p.Acquire(askingAt(9, "popular", now), now).Verdict)
-		p.Released(connpool.Conn{ID: 1, Team: "popular"}, ms, now)
+		require.Equal(t, connpool.Granted, p.Acquire(teamWaiterAt(9, "frequent", now), now).Outcome)
+		p.Released(connpool.Conn{ID: 1, Team: "frequent"}, ms, now)
 	}
 	openFor(t, p, 2, "once", now)
 	later := now + 500*ms
-	require.Equal(t, connpool.Queued, p.Acquire(askingAt(3, "newcomer", later), later).Verdict)
-	o, due := p.ShouldOpen(later)
+	require.Equal(t, connpool.Queued, p.Acquire(teamWaiterAt(3, "newcomer", later), later).Outcome)
+	request, due := p.BeginOpen(later)
 	require.True(t, due)
-	require.Equal(t, connpool.ConnID(2), o.Evicted)
+	require.Equal(t, connpool.ConnID(2), request.Evicted)
 }
 
-// TestStatusNeedsNoConnectionOfItsOwn: what the system asks by itself runs on any
-// team's connection.
-func TestStatusNeedsNoConnectionOfItsOwn(t *testing.T) {
-	p := connpool.New(connpool.Limits{Max: 2, Fair: 2, MaxWaiting: 4})
+// TestAnyTeamStatementUsesAnyConnection checks that statements of the proxy itself run on
+// any team's connection.
+func TestAnyTeamStatementUsesAnyConnection(t *testing.T) {
+	p := connpool.New(connpool.Limits{MaxOpen: 2, FairShare: 2, MaxWaiting: 4})
 	openFor(t, p, 1, "schools", 0)
-	w := asking(2, "")
+	w := teamWaiter(2, "")
 	w.AnyTeam = true
-	require.Equal(t, connpool.Granted, p.Acquire(w, 0).Verdict)
+	require.Equal(t, connpool.Granted, p.Acquire(w, 0).Outcome)
 }
 
-// TestBusyTeamDoesNotKeepItsConnections replays a team that always has something
-// waiting, beside one statement of another team.
-func TestBusyTeamDoesNotKeepItsConnections(t *testing.T) {
-	p := connpool.New(connpool.Limits{Max: 1, Fair: 1, MaxWaiting: 64})
+// TestBacklogDoesNotMonopolizeConnections checks that a team with a permanent backlog
+// loses its connection to a waiting statement of another team, but not at once.
+func TestBacklogDoesNotMonopolizeConnections(t *testing.T) {
+	p := connpool.New(connpool.Limits{MaxOpen: 1, FairShare: 1, MaxWaiting: 64})
 	openFor(t, p, 1, "busy", 0)
-	require.Equal(t, connpool.Granted, p.Acquire(asking(2, "busy"), 0).Verdict)
-	require.Equal(t, connpool.Queued, p.Acquire(asking(3, "quiet"), 0).Verdict)
-	const work = 10 * ms
+	require.Equal(t, connpool.Granted, p.Acquire(teamWaiter(2, "busy"), 0).Outcome)
+	require.Equal(t, connpool.Queued, p.Acquire(teamWaiter(3, "quiet"), 0).Outcome)
+	const serviceTime = 10 * ms
 	for i := range 20 {
-		now := time.Duration(i) * work
-		w := asking(uint64(10+i), "busy")
-		w.AimBy, w.FreshBy = now+500*ms, now+250*ms
+		now := time.Duration(i) * serviceTime
+		w := teamWaiter(uint64(10+i), "busy")
+		w.TargetDeadline, w.OnTimeUntil = now+500*ms, now+250*ms
 		p.Acquire(w, now)
-		if _, found := p.Released(connpool.Conn{ID: 1, Team: "busy"}, work, now+work); !found {
-			o, due := p.ShouldOpen(now + work)
+		if _, found := p.Released(connpool.Conn{ID: 1, Team: "busy"}, serviceTime, now+serviceTime); !found {
+			request, due := p.BeginOpen(now + serviceTime)
 			require.True(t, due)
-			require.Equal(t, connpool.Order{Team: "quiet", Evicted: 1, Evicts: true}, o)
-			require.Greater(t, i, 2, "a change of hands is not made for a moment's wait")
+			require.Equal(t, connpool.OpenRequest{Team: "quiet", Evicted: 1, Evicts: true}, request)
+			require.Greater(t, i, 2, "the connection must not be evicted after a short wait")
 			return
 		}
 	}
-	t.Fatal("the busy team keeps its connection for good")
+	t.Fatal("the connection of the busy team is never evicted")
 }
 
-// TestIdleConnectionWaitsForRoom: where all that may run something do, a statement
-// waits although its team's connection idles, and has it as soon as there is room.
-func TestIdleConnectionWaitsForRoom(t *testing.T) {
-	p := connpool.New(connpool.Limits{Max: 2, Busy: 1, Fair: 2, MaxWaiting: 4})
+// TestIdleConnectionIsAssignedBelowMaxActive checks that a statement waits while MaxActive
+// connections are in use, although its team has an idle one, and gets it afterwards.
+func TestIdleConnectionIsAssignedBelowMaxActive(t *testing.T) {
+	p := connpool.New(connpool.Limits{MaxOpen: 2, MaxActive: 1, FairShare: 2, MaxWaiting: 4})
 	openFor(t, p, 1, "schools", 0)
 	openFor(t, p, 2, "clubs", 0)
-	require.Equal(t, connpool.Granted, p.Acquire(asking(3, "clubs"), 0).Verdict)
-	require.Equal(t, connpool.Queued, p.Acquire(asking(4, "schools"), 0).Verdict)
-	_, _, found := p.Assign(0)
+	require.Equal(t, connpool.Granted, p.Acquire(teamWaiter(3, "clubs"), 0).Outcome)
+	require.Equal(t, connpool.Queued, p.Acquire(teamWaiter(4, "schools"), 0).Outcome)
+	_, _, found := p.AssignIdle(0)
 	require.False(t, found)
 	_, found = p.Released(connpool.Conn{ID: 2, Team: "clubs"}, ms, ms)
 	require.False(t, found)
-	id, w, found := p.Assign(ms)
+	id, w, found := p.AssignIdle(ms)
 	require.True(t, found)
 	require.Equal(t, connpool.ConnID(1), id)
 	require.Equal(t, uint64(4), w.ID)
 }
 
-// TestOneTeamOpensNoMoreThanMayRun: connections beyond those that may run something
-// are for other teams.
-func TestOneTeamOpensNoMoreThanMayRun(t *testing.T) {
-	p := connpool.New(connpool.Limits{Max: 8, Busy: 3, Fair: 8, MaxWaiting: 64})
+// TestTeamOpensNoMoreThanMaxActive checks that connections beyond MaxActive are left to
+// other teams.
+func TestTeamOpensNoMoreThanMaxActive(t *testing.T) {
+	p := connpool.New(connpool.Limits{MaxOpen: 8, MaxActive: 3, FairShare: 8, MaxWaiting: 64})
 	for id := range 20 {
-		p.Acquire(asking(uint64(id), "only"), 0)
+		p.Acquire(teamWaiter(uint64(id), "only"), 0)
 	}
-	for opens(p, 0) {
+	for beginOpen(p, 0) {
 	}
 	require.Equal(t, 3, p.Open())
 }
 
-// TestTeamsNeverShareAConnection: whatever is asked for, opened, released and
-// closed, a waiter gets a connection of its team, no more are open than allowed,
-// and no more run something than may.
-func TestTeamsNeverShareAConnection(t *testing.T) {
+// TestStatementsRunOnConnectionsOfTheirTeam applies random operations and checks that
+// waiters only get connections of their team and that the limits hold.
+func TestStatementsRunOnConnectionsOfTheirTeam(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		limits := connpool.Limits{Max: rapid.IntRange(1, 6).Draw(t, "max"), Fair: 6, MaxWaiting: 16}
-		limits.Busy = rapid.IntRange(1, limits.Max).Draw(t, "busy")
+		limits := connpool.Limits{MaxOpen: rapid.IntRange(1, 6).Draw(t, "max open"), FairShare: 6, MaxWaiting: 16}
+		limits.MaxActive = rapid.IntRange(1, limits.MaxOpen).Draw(t, "max active")
 		p := connpool.New(limits)
 		teamOf := map[connpool.ConnID]string{}
 		var used []connpool.ConnID
@@ -159,9 +158,9 @@
 			now += time.Duration(rapid.IntRange(0, 40).Draw(t, "pause")) * ms
 			switch rapid.IntRange(0, 3).Draw(t, "event") {
 			case 0, 1:
-				w := asking(uint64(step), fmt.Sprint("team-", rapid.IntRange(0, 4).Draw(t, "team")))
-				w.AimBy, w.FreshBy, w.StartBy = now+500*ms, now+250*ms, now+time.Second
-				if d := p.Acquire(w, now); d.Verdict == connpool.Granted {
+				w := teamWaiter(uint64(step), fmt.Sprint("team-", rapid.IntRange(0, 4).Draw(t, "team")))
+				w.TargetDeadline, w.OnTimeUntil, w.StartDeadline = now+500*ms, now+250*ms, now+time.Second
+				if d := p.Acquire(w, now); d.Outcome == connpool.Granted {
 					take(d.Conn, w)
 				}
 			case 2:
@@ -185,24 +184,24 @@
 				}
 			}
 			for {
-				id, w, found := p.Assign(now)
+				id, w, found := p.AssignIdle(now)
 				if !found {
 					break
 				}
 				take(id, w)
 			}
 			for {
-				o, due := p.ShouldOpen(now)
+				request, due := p.BeginOpen(now)
 				if !due {
 					break
 				}
 				next++
-				opening = append(opening, connpool.Conn{ID: next, Team: o.Team})
+				opening = append(opening, connpool.Conn{ID: next, Team: request.Team})
 			}
-			for _, id := range p.Surplus(now) {
+			for _, id := range p.ExpireIdle(now) {
 				delete(teamOf, id)
 			}
-			if p.Open() > limits.Max || len(used) > limits.Busy || p.InUse() != len(used) {
+			if p.Open() > limits.MaxOpen || len(used) > limits.MaxActive || p.InUse() != len(used) {
 				t.Fatalf("%d open, %d in use, counted as %d, with limits %+v", p.Open(), len(used), p.InUse(), limits)
 			}
 		}
--- a/core/connpool/waiter.go
+++ b/core/connpool/waiter.go
@@ -2,83 +2,82 @@
 
 import "time"
 
-// FreshShare is the part of its latency target that a statement may wait for a
-// connection and still count as on time. Load pattern: a member is offered more
-// than it can run, for seconds. Statements that start later than half of their
-// target end late in most cases, and served in turn they make all that follow
-// late too; so they wait behind those that are on time.
-const FreshShare = 0.5
+// OnTimeWaitFraction is the fraction of its latency target that a statement may
+// wait for a connection and still be served as on time. Under overload, serving
+// late statements first would make the ones behind them late too, so they are
+// served after those that are on time.
+const OnTimeWaitFraction = 0.5
 
 // Waiter is a statement that needs a connection.
 type Waiter struct {
 	ID uint64
-	// Team is in whose name the statement runs; it needs a connection that was
-	// opened in that name.
+	// Team is the team that the statement belongs to. It needs a connection that was
+	// opened for this team.
 	Team string
-	// AnyTeam tells that any connection will do, for what the system asks by itself.
+	// AnyTeam allows the use of any team's connection, for statements of the proxy
+	// itself.
 	AnyTeam bool
-	// Priority 0 is the highest.
+	// Priority is the priority class; 0 is the highest.
 	Priority int
-	// AimBy is when its latency target is over. Of those on time the most urgent
-	// goes first.
-	AimBy time.Duration
-	// Kind names the kind of statement; the pool only keeps it.
+	// TargetDeadline is when the statement's latency target ends. Among statements
+	// that are on time, and of the same ExtraTime, the earliest goes first.
+	TargetDeadline time.Duration
+	// Kind names the kind of statement. The pool does not interpret it.
 	Kind string
-	// Extra is how much longer than the shortest kind of statement this one takes
-	// of a slot.
-	Extra time.Duration
-	// FreshBy is until when it is served in its turn. After it, it gets what
-	// those that are on time leave.
-	FreshBy time.Duration
-	// StartBy is the latest start that is still of use.
-	StartBy time.Duration
-	// Values identifies the session values that the statement needs.
-	Values string
+	// ExtraTime is by how much the expected execution time exceeds that of the
+	// fastest kind of statement.
+	ExtraTime time.Duration
+	// OnTimeUntil is when the statement becomes late. Late statements are served
+	// after all that are on time.
+	OnTimeUntil time.Duration
+	// StartDeadline is the latest useful start.
+	StartDeadline time.Duration
+	// SessionValues identifies the session values that the statement requires.
+	SessionValues string
 }
 
-// stretch is how many times its extra work a statement lets others of its priority
-// pass by. Load pattern: a group's replicas are behind, and its primary is offered
-// a third more than its two slots can run, for most of a minute. Statements of
-// 15 ms that were the most urgent left too few slots to those of 9 ms, of which
-// 48 % were refused against 7 %; a slot serves more callers with the short ones.
-// With 200 times, long ones are shut out.
-const stretch = 50
+// extraTimeFactor is the delay in a statement's order of service per unit of
+// ExtraTime. Preferring short statements lets an overloaded slot serve more
+// callers; too large a factor starves long statements.
+const extraTimeFactor = 50
 
-// turn orders the statements of one priority.
-func (w Waiter) turn() time.Duration { return w.AimBy + stretch*w.Extra }
+// effectiveDeadline returns the sort key of statements of the same priority that
+// are all on time or all late.
+func (w Waiter) effectiveDeadline() time.Duration {
+	return w.TargetDeadline + extraTimeFactor*w.ExtraTime
+}
 
-// before orders waiters: a higher priority first; then those that are on time, the
-// most urgent first, dear ones later; then those that are late, the oldest first.
+// before reports whether w is served before v: by priority, then on-time before
+// late statements, then by effective deadline.
 func (w Waiter) before(v Waiter, now time.Duration) bool {
 	if w.Priority != v.Priority {
 		return w.Priority < v.Priority
 	}
-	wFresh, vFresh := w.FreshBy >= now, v.FreshBy >= now
-	if wFresh != vFresh {
-		return wFresh
+	wOnTime, vOnTime := w.OnTimeUntil >= now, v.OnTimeUntil >= now
+	if wOnTime != vOnTime {
+		return wOnTime
 	}
-	return w.turn() < v.turn()
+	return w.effectiveDeadline() < v.effectiveDeadline()
 }
 
-// fits reports whether the statement may run on a connection of a team.
-func (w Waiter) fits(team string) bool { return w.AnyTeam || w.Team == team }
+// canUse reports whether the statement may run on a connection of the given team.
+func (w Waiter) canUse(team string) bool { return w.AnyTeam || w.Team == team }
 
-// handOver is by how much a statement may be more urgent than one of the
-// connection's own team and still wait for it: about five new connections. Load
-// pattern: more teams wait than a member takes connections. Each change of hands
-// costs 12 to 27 ms of a slot; without a bound, a team that always has something
-// waiting would keep its connections to itself.
-const handOver = 60 * time.Millisecond
+// teamSwitchMargin is by how much a statement must be more urgent than one of the
+// connection's team for the connection to be replaced by one of another team. It
+// amortizes the cost of opening connections, while its bound keeps a team with
+// a permanent backlog from holding its connections indefinitely.
+const teamSwitchMargin = 60 * time.Millisecond
 
-// passes reports whether the statement goes before one for which the connection
-// need not change hands.
-func (w Waiter) passes(own Waiter, now time.Duration) bool {
-	w.AimBy += handOver
-	return w.before(own, now)
+// precedesWithSwitch reports whether w, which needs a connection of another team, is
+// served before other, which can use the current connection.
+func (w Waiter) precedesWithSwitch(other Waiter, now time.Duration) bool {
+	w.TargetDeadline += teamSwitchMargin
+	return w.before(other, now)
 }
 
-// first returns the index of the waiter that is served next, of those that match.
-func first(waiting []Waiter, now time.Duration, match func(Waiter) bool) (int, bool) {
+// nextWaiter returns the index of the matching waiter that is served next.
+func nextWaiter(waiting []Waiter, now time.Duration, match func(Waiter) bool) (int, bool) {
 	best := -1
 	for i, w := range waiting {
 		if match(w) && (best < 0 || w.before(waiting[best], now)) {
--- a/core/gates/plan.go
+++ b/core/gates/plan.go
@@ -101,7 +101,7 @@
 // keeping returns the share of a host that keeps connections of its own, of which
 // some run something at once.
 func keeping(connections, busy int) Share {
-	return Share{Limits: connpool.Limits{Max: connections, Busy: busy, Fair: connections, MaxWaiting: maxWaiting}}
+	return Share{Limits: connpool.Limits{MaxOpen: connections, MaxActive: busy, FairShare: connections, MaxWaiting: maxWaiting}}
 }
 
 // For returns the share of the named host in a member.
@@ -119,7 +119,7 @@
 	useful := p.useful(m)
 	count := top.Size()
 	if count == 0 {
-		return Share{Limits: connpool.Limits{Max: useful, Fair: 1, MaxWaiting: maxWaiting}}
+		return Share{Limits: connpool.Limits{MaxOpen: useful, FairShare: 1, MaxWaiting: maxWaiting}}
 	}
 	each := max(useful/count, 1)
 	chosen := p.fleet.called(top.Names())
@@ -129,7 +129,7 @@
 		return share
 	}
 	return Share{
-		Limits: connpool.Limits{Max: min(strayConnections, each), MaxWaiting: maxWaiting},
+		Limits: connpool.Limits{MaxOpen: min(strayConnections, each), MaxWaiting: maxWaiting},
 		Gates:  addresses(chosen, m.ID, host), All: chosen,
 	}
 }
--- a/core/gates/plan_test.go
+++ b/core/gates/plan_test.go
@@ -34,12 +34,12 @@
 		if len(s.Gates) == 0 {
 			isGate++
 			require.Equal(t, "a2", h.Zone, "gates are near the member")
-			require.Equal(t, 7, s.Limits.Max)
+			require.Equal(t, 7, s.Limits.MaxOpen)
 			continue
 		}
 		require.Len(t, s.Gates, 2)
-		require.Equal(t, 2, s.Limits.Max)
-		require.Zero(t, s.Limits.Fair, "stray connections are closed at once")
+		require.Equal(t, 2, s.Limits.MaxOpen)
+		require.Zero(t, s.Limits.FairShare, "stray connections are closed at once")
 	}
 	require.Equal(t, 2, isGate)
 }
@@ -50,13 +50,13 @@
 	for _, h := range hosts {
 		s := plan.For(gates.Member{ID: "m", Zone: "a1"}, h.Name)
 		require.Empty(t, s.Gates)
-		require.Equal(t, 18, s.Limits.Max)
+		require.Equal(t, 18, s.Limits.MaxOpen)
 	}
 }
 
 func TestAHostAloneKeepsAll(t *testing.T) {
 	require.Empty(t, gates.NewPlan(gates.NewFleet(nil, nil), 15).For(gates.Member{ID: "m", Zone: "a1"}, "h").Gates)
-	require.Equal(t, 15, gates.NewPlan(gates.NewFleet(nil, nil), 15).For(gates.Member{ID: "m", Zone: "a1"}, "h").Limits.Max)
+	require.Equal(t, 15, gates.NewPlan(gates.NewFleet(nil, nil), 15).For(gates.Member{ID: "m", Zone: "a1"}, "h").Limits.MaxOpen)
 }
 
 // TestSharesNeverExceedTheMember: whatever the fleet, the gates together open
@@ -72,7 +72,7 @@
 		for _, h := range hosts {
 			s := plan.For(gates.Member{ID: "m", Zone: "a1"}, h.Name)
 			if len(s.Gates) == 0 {
-				sum += s.Limits.Max
+				sum += s.Limits.MaxOpen
 				gateCount++
 				continue
 			}
@@ -114,7 +114,7 @@
 	sum := 0
 	for _, h := range hosts {
 		if s := plan.For(gates.Member{ID: "m", Zone: "a1", Slots: 6}, h.Name); len(s.Gates) == 0 {
-			sum += s.Limits.Busy
+			sum += s.Limits.MaxActive
 		}
 	}
 	require.LessOrEqual(t, sum, 66)
@@ -129,8 +129,8 @@
 	kept, busy := 0, 0
 	for _, h := range hosts {
 		if s := plan.For(gates.Member{ID: "m", Zone: "a1", Slots: 2}, h.Name); len(s.Gates) == 0 {
-			kept += s.Limits.Max
-			busy += s.Limits.Busy
+			kept += s.Limits.MaxOpen
+			busy += s.Limits.MaxActive
 		}
 	}
 	require.Equal(t, 27, kept)
--- a/core/worktime/worktime.go
+++ b/core/worktime/worktime.go
@@ -1,10 +1,10 @@
-// Package worktime learns how much longer the statements of one kind take at a
-// member than those of another.
+// Package worktime estimates how much longer one kind of statement executes on a
+// member than another.
 //
-// What a host sees of a statement is the wait in the member's queue and the work
-// together. The wait is the same for all kinds that arrive at the same time, so
-// the difference between two kinds' means is that of their work, however long
-// the queue is.
+// A host observes only response times, which include the wait in the member's
+// queue. Kinds of statements that run during the same period see the same queueing
+// delay, so the difference between their mean response times is the difference
+// between their execution times.
 package worktime
 
 import (
@@ -12,51 +12,53 @@
 	"time"
 )
 
-// memory is the time over which answers count: several swings of a queue, so that
-// what differs between the kinds remains of it.
-const memory = 5 * time.Second
+// decayTime is the time constant of the means. It spans several fluctuations of
+// the queue length, so that these average out.
+const decayTime = 5 * time.Second
 
-// mean is the mean time of one kind's answers, by the clock rather than by their
-// number: kinds that are asked more often must not follow the queue sooner.
-type mean struct {
-	took time.Duration
-	at   time.Duration
+// decayedMean is the mean response time of one kind of statement. Samples decay
+// with time rather than with the number of samples, so that frequent kinds do not
+// follow changes of the queueing delay faster than rare ones.
+type decayedMean struct {
+	value     time.Duration
+	updatedAt time.Duration
 }
 
-// Times holds the means of the kinds of statements at one member. It is not safe
-// for concurrent use.
+// Times holds the mean response times of the kinds of statements on one member.
+// The zero value is ready to use. It is not safe for concurrent use.
 type Times struct {
-	kinds map[string]mean
+	kinds map[string]decayedMean
 }
 
-// Ran notes how long an answer to a statement of a kind took.
-func (t *Times) Ran(kind string, took, now time.Duration) {
+// Observe records the response time of a statement of the given kind.
+func (t *Times) Observe(kind string, took, now time.Duration) {
 	if t.kinds == nil {
-		t.kinds = map[string]mean{}
+		t.kinds = map[string]decayedMean{}
 	}
 	m, found := t.kinds[kind]
 	if !found {
-		t.kinds[kind] = mean{took: took, at: now}
+		t.kinds[kind] = decayedMean{value: took, updatedAt: now}
 		return
 	}
-	weight := 1 - math.Exp(-float64(now-m.at)/float64(memory))
-	m.took += time.Duration(weight * float64(took-m.took))
-	m.at = now
+	weight := 1 - math.Exp(-float64(now-m.updatedAt)/float64(decayTime))
+	m.value += time.Duration(weight * float64(took-m.value))
+	m.updatedAt = now
 	t.kinds[kind] = m
 }
 
-// Extra returns how much longer than the shortest kind of late a statement of a
-// kind takes; zero for a kind that is not known.
-func (t *Times) Extra(kind string, now time.Duration) time.Duration {
+// ExtraTime returns by how much the execution time of a kind of statement exceeds
+// that of the fastest kind observed within decayTime. It returns zero for an
+// unknown kind.
+func (t *Times) ExtraTime(kind string, now time.Duration) time.Duration {
 	m, found := t.kinds[kind]
 	if !found {
 		return 0
 	}
-	least := m.took
+	shortest := m.value
 	for _, other := range t.kinds {
-		if now-other.at < memory {
-			least = min(least, other.took)
+		if now-other.updatedAt < decayTime {
+			shortest = min(shortest, other.value)
 		}
 	}
-	return m.took - least
+	return m.value - shortest
 }
--- a/node/edge/query.go
+++ b/node/edge/query.go
@@ -155,7 +155,7 @@
 func (s *caller) newWork(st statement.Statement, route catalog.Route, arrived time.Duration) replicaset.Work {
 	endBy := arrived + route.Timeout - timeoutMargin
 	startBy := endBy - runMargin
-	freshBy := arrived + time.Duration(connpool.FreshShare*float64(route.Target))
+	freshBy := arrived + time.Duration(connpool.OnTimeWaitFraction*float64(route.Target))
 	return replicaset.Work{
 		Statement: st, Values: s.state.Values(), Committed: s.state.Committed, Route: route, Team: s.team.Name,
 		ReadOnly: s.state.ReadOnly, Received: arrived,
--- a/node/entry/metrics.go
+++ b/node/entry/metrics.go
@@ -66,7 +66,7 @@
 // connections counts what became of the statements that needed a connection.
 func (m *hostMetrics) connections(service string, c connpool.Counts) {
 	of := metrics.Label{Name: "service", Value: service}
-	m.metrics.Add("connections_found", c.Found, of)
+	m.metrics.Add("connections_found", c.Reused, of)
 	m.metrics.Add("connections_opened", c.Opened, of)
 	m.metrics.Add("connections_evicted", c.Evicted, of)
 }
--- a/node/entry/resting_test.go
+++ b/node/entry/resting_test.go
@@ -24,7 +24,7 @@
 		c.must("STORE item held")
 		resting = append(resting, c)
 	}
-	time.Sleep(connpool.RestLimit + 100*time.Millisecond)
+	time.Sleep(connpool.MaxIdleInTransaction + 100*time.Millisecond)
 	began := time.Now()
 	d.connect(0, "strict").must("STORE item x")
 	require.Less(t, time.Since(began), timeout/2, "it does not wait until the rests are over")
--- a/node/entry/talk.go
+++ b/node/entry/talk.go
@@ -67,7 +67,7 @@
 func (h *Host) countConnections() {
 	for _, s := range h.allSets() {
 		c := s.TakeConnectionCounts()
-		h.talk.addMany(connectionFound, c.Found)
+		h.talk.addMany(connectionFound, c.Reused)
 		h.talk.addMany(connectionOpened, c.Opened)
 		h.talk.addMany(connectionEvicted, c.Evicted)
 		h.metrics.connections(s.Service(), c)
--- a/node/replicaset/doubt_test.go
+++ b/node/replicaset/doubt_test.go
@@ -27,7 +27,7 @@
 	s.Tick(now + health.EvidenceLasts)
 	require.False(t, m.Doubtful(now+time.Hour))
 
-	m.update(m.snapshot(), gates.Share{Limits: connpool.Limits{Max: 1, Fair: 1}})
+	m.update(m.snapshot(), gates.Share{Limits: connpool.Limits{MaxOpen: 1, FairShare: 1}})
 	require.True(t, s.probes(m))
 	m.failed(now, failureSilent)
 	s.Tick(now + health.EvidenceLasts)
--- a/node/replicaset/member.go
+++ b/node/replicaset/member.go
@@ -102,9 +102,9 @@
 	defer m.mu.Unlock()
 	return balance.Candidate{
 		ID: m.id, Primary: m.id == primary, RoundTrip: m.set.places.RoundTrip(m.entry.Zone),
-		Answer: m.answer, InUse: m.pool.InUse() + m.elsewhere, Waiting: m.pool.Waiting(),
-		Idle:  m.pool.Idle() > 0 || len(m.share.Gates) > 0,
-		Slots: m.entry.Slots, Suspect: m.health.Doubtful(now), Missing: m.entry.Missing,
+		ResponseTime: m.answer, InUse: m.pool.InUse() + m.elsewhere, Waiting: m.pool.Waiting(),
+		HasIdleConn: m.pool.Idle() > 0 || len(m.share.Gates) > 0,
+		Slots:       m.entry.Slots, Suspect: m.health.Doubtful(now), Unregistered: m.entry.Missing,
 	}
 }
 
@@ -121,7 +121,7 @@
 // held.
 func (m *Member) sendAway(err error) {
 	for id, ch := range m.waiters {
-		if m.pool.Leave(id) {
+		if m.pool.CancelWait(id) {
 			delete(m.waiters, id)
 			ch <- grant{err: err}
 		}
--- a/node/replicaset/member_health.go
+++ b/node/replicaset/member_health.go
@@ -15,8 +15,8 @@
 	defer m.mu.Unlock()
 	m.health.Answered(sent, now)
 	if a.Signature != "" {
-		m.pool.Ran(now - sent)
-		m.times.Ran(kind, now-sent, now)
+		m.pool.ObserveResponse(now - sent)
+		m.times.Observe(kind, now-sent, now)
 		m.answer += time.Duration(answerSmoothing * float64(now-sent-m.answer))
 	}
 }
--- a/node/replicaset/member_pool.go
+++ b/node/replicaset/member_pool.go
@@ -54,10 +54,10 @@
 	m.nextID++
 	w.ID = m.nextID
 	if m.set.without.Has(mechanism.ShortFirst) {
-		w.Extra = m.times.Extra(w.Kind, now)
+		w.ExtraTime = m.times.ExtraTime(w.Kind, now)
 	}
 	d := m.pool.Acquire(*w, now)
-	switch d.Verdict {
+	switch d.Outcome {
 	case connpool.Granted:
 		c := m.conns[d.Conn]
 		c.takenAt, c.kind = now, w.Kind
@@ -73,7 +73,7 @@
 
 // await waits for a queued request.
 func (m *Member) await(ctx context.Context, w connpool.Waiter, ch chan grant) (*Conn, error) {
-	timer := time.NewTimer(w.FreshBy - clock.Now())
+	timer := time.NewTimer(w.OnTimeUntil - clock.Now())
 	defer timer.Stop()
 	for {
 		select {
@@ -102,7 +102,7 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	now := clock.Now()
-	at, keep := m.pool.KeepUntil(w, now)
+	at, keep := m.pool.WaitUntil(w, now)
 	return at - now, keep
 }
 
@@ -110,7 +110,7 @@
 func (m *Member) leave(w connpool.Waiter) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	left := m.pool.Leave(w.ID)
+	left := m.pool.CancelWait(w.ID)
 	delete(m.waiters, w.ID)
 	return left
 }
@@ -119,14 +119,14 @@
 // that the pool asks for. It is called with mu held.
 func (m *Member) openMore(now time.Duration) {
 	for {
-		id, w, found := m.pool.Assign(now)
+		id, w, found := m.pool.AssignIdle(now)
 		if !found {
 			break
 		}
 		m.hand(m.conns[id], w, now)
 	}
 	for {
-		order, due := m.pool.ShouldOpen(now)
+		order, due := m.pool.BeginOpen(now)
 		if !due {
 			break
 		}
@@ -232,7 +232,7 @@
 		m.openMore(now)
 		return
 	}
-	w, found := m.pool.Released(connpool.Conn{ID: c.id, Team: c.team, Values: c.valuesKey()}, now-c.takenAt, now)
+	w, found := m.pool.Released(connpool.Conn{ID: c.id, Team: c.team, SessionValues: c.valuesKey()}, now-c.takenAt, now)
 	if found {
 		m.hand(c, w, now)
 	}
@@ -246,7 +246,7 @@
 	if m.surplusTimer != nil {
 		return
 	}
-	at := m.pool.SurplusAt()
+	at := m.pool.NextIdleExpiry()
 	if at == 0 {
 		return
 	}
@@ -274,7 +274,7 @@
 func (m *Member) closeSurplus(now time.Duration) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	for _, id := range m.pool.Surplus(now) {
+	for _, id := range m.pool.ExpireIdle(now) {
 		m.conns[id].close()
 		delete(m.conns, id)
 	}
--- a/node/replicaset/pick_reader.go
+++ b/node/replicaset/pick_reader.go
@@ -47,8 +47,8 @@
 	source := PrimaryBehind
 	for _, c := range candidates {
 		switch {
-		case c.Primary || c.Behind:
-		case c.Suspect || c.Missing:
+		case c.Primary || c.Lagging:
+		case c.Suspect || c.Unregistered:
 			source = max(source, PrimaryDoubt)
 		default:
 			source = PrimarySooner
@@ -112,7 +112,7 @@
 	if m, found := a.awaitReplica(ctx, t, floor, now); found {
 		return m, true
 	}
-	if len(readers) > 0 && (t.full == nil || !readers[0].Behind) {
+	if len(readers) > 0 && (t.full == nil || !readers[0].Lagging) {
 		return s.Member(readers[0].ID)
 	}
 	return nil, false
@@ -151,15 +151,15 @@
 			continue
 		}
 		c := m.candidate(primary, now)
-		c.Foreign = home != "" && id != home && id != primary
-		c.Behind = id != primary && s.replica(m, floor).Behind(now)
+		c.AffinityElsewhere = home != "" && id != home && id != primary
+		c.Lagging = id != primary && s.replica(m, floor).Behind(now)
 		if e.Leaving {
 			leaving = append(leaving, c)
 		} else {
 			staying = append(staying, c)
 		}
 	}
-	return append(balance.Order(staying), balance.Order(leaving)...)
+	return append(balance.Rank(staying), balance.Rank(leaving)...)
 }
 
 // homeOf returns the replica at which a team's reads meet; none where callers have
--- a/node/replicaset/probe.go
+++ b/node/replicaset/probe.go
@@ -107,7 +107,7 @@
 func (s *Set) Order(ctx context.Context, m *Member, op statement.Operation) (statement.Status, error) {
 	now := clock.Now()
 	until := now + controlTimeout
-	c, err := m.acquire(ctx, connpool.Waiter{AnyTeam: true, Priority: controlPriority, AimBy: now, FreshBy: until, StartBy: until})
+	c, err := m.acquire(ctx, connpool.Waiter{AnyTeam: true, Priority: controlPriority, TargetDeadline: now, OnTimeUntil: until, StartDeadline: until})
 	if err != nil {
 		return statement.Status{}, err
 	}
--- a/node/replicaset/reclaim.go
+++ b/node/replicaset/reclaim.go
@@ -19,7 +19,7 @@
 	}
 	now := clock.Now()
 	byID := map[uint64]*localTx{}
-	var resting []connpool.Resting
+	var resting []connpool.IdleTransaction
 	for _, tx := range s.txs.all() {
 		// A transaction whose lock is taken has a statement under way.
 		if tx.conn.member != m || !tx.mu.TryLock() {
@@ -27,26 +27,26 @@
 		}
 		if !tx.ended {
 			byID[tx.id] = tx
-			resting = append(resting, connpool.Resting{ID: tx.id, Since: tx.used})
+			resting = append(resting, connpool.IdleTransaction{ID: tx.id, IdleSince: tx.used})
 		}
 		tx.mu.Unlock()
 	}
-	if chosen, found := connpool.Reclaim(resting, now); found {
+	if chosen, found := connpool.ReclaimCandidate(resting, now); found {
 		s.endResting(byID[chosen.ID], chosen)
 	}
 }
 
 // endResting ends a transaction unless it has gone on meanwhile.
-func (s *Set) endResting(tx *localTx, seen connpool.Resting) {
+func (s *Set) endResting(tx *localTx, seen connpool.IdleTransaction) {
 	if !tx.mu.TryLock() {
 		return
 	}
 	defer tx.mu.Unlock()
-	if tx.ended || tx.used != seen.Since {
+	if tx.ended || tx.used != seen.IdleSince {
 		return
 	}
 	eventlog.TransactionReclaimed.Info(s.log).Str("upstream", tx.conn.member.id).Str("owner", tx.owner).
-		Dur("rested_ms", clock.Now()-seen.Since).Send()
+		Dur("rested_ms", clock.Now()-seen.IdleSince).Send()
 	s.endTx(tx)
 }
 
--- a/node/replicaset/work.go
+++ b/node/replicaset/work.go
@@ -49,8 +49,8 @@
 
 func (w Work) waiter() connpool.Waiter {
 	return connpool.Waiter{
-		Priority: w.Route.Priority, Kind: w.Route.Database, AimBy: w.AimBy, FreshBy: w.FreshBy, StartBy: w.StartBy,
-		Team: w.Team, Values: session.ValuesKey(w.Values),
+		Priority: w.Route.Priority, Kind: w.Route.Database, TargetDeadline: w.AimBy, OnTimeUntil: w.FreshBy, StartDeadline: w.StartBy,
+		Team: w.Team, SessionValues: session.ValuesKey(w.Values),
 	}
 }
 
