--- a/core/catchup/catchup.go
+++ b/core/catchup/catchup.go
@@ -1,59 +1,63 @@
-// Package catchup decides whether a read waits for a replica that is behind.
+// Package catchup decides whether a read waits for a replica that lags.
 //
-// Load pattern: the replicas of a group are some hundred milliseconds behind,
-// and callers that have just written want to see it. Only the primary is left
-// for their reads, whose slots run part of them, and the rest would be refused.
-// A replica that applies 400 ms late shows a caller's own commit 400 ms after
-// it: late for some, but served, and it takes nothing from the primary.
+// When all replicas lag, the primary is the only member that can serve reads of
+// recent commits, and it cannot take all of them. Holding such a read until a
+// replica has applied the commit costs latency, but avoids a refusal and load
+// on the primary.
 //
-// A floor that follows from how stale a read may be is not waited for. It rises
-// with time, and a replica that is behind by more than that does not reach it.
+// A read does not wait for a floor that follows from its staleness bound: that
+// floor rises with time, and a replica that lags by more than the bound never
+// reaches it.
 package catchup
 
 import "time"
 
 const (
-	// Unknown is the distance to a log of which nothing is known but that it is
-	// too short.
-	Unknown = sightingFor
-	// minWait is the least wait before a replica that was behind is asked again:
-	// replicas are 20 to 50 ms behind when all is well.
-	minWait = 30 * time.Millisecond
-	// sightingFor is how long the sight of a short log keeps reads away. After it
-	// one is sent to look: a replica may catch up faster than it fell behind.
-	sightingFor = 150 * time.Millisecond
+	// UnknownLag is the lag assumed for a replica that is below the floor by an
+	// unknown amount.
+	UnknownLag = observationTTL
+	// minRetryDelay is the least time before a lagging replica is tried again.
+	// Replication lag is 20 to 50 ms in normal operation.
+	minRetryDelay = 30 * time.Millisecond
+	// observationTTL is how long an observation that a replica is below the
+	// floor keeps reads away from it. After that a read is sent to check,
+	// because the replica may have caught up faster than expected.
+	observationTTL = 150 * time.Millisecond
 )
 
-// Replica is what is known of a replica's log, for one read.
+// Replica is the last observation of a replica's log, relative to the floor of
+// one read.
 type Replica struct {
 	ID string
-	// Seen is when its log was last seen.
-	Seen time.Duration
-	// Holds tells that it held the read's floor then.
-	Holds bool
-	// Distance is, where it did not, how much later the primary's log reached the
-	// floor than what the replica held.
-	Distance time.Duration
+	// ObservedAt is when the replica's log position was last observed.
+	ObservedAt time.Duration
+	// HasFloor reports whether the log contained the floor of the read then.
+	HasFloor bool
+	// Lag is, if HasFloor is false, how much later the primary's log reached
+	// the floor than it reached the replica's position.
+	Lag time.Duration
 }
 
-// ReadyAt returns when the replica is expected to hold the floor.
+// ReadyAt returns when the replica is expected to reach the floor.
 func (r Replica) ReadyAt() time.Duration {
-	if r.Holds {
-		return r.Seen
+	if r.HasFloor {
+		return r.ObservedAt
 	}
-	return r.Seen + max(r.Distance, minWait)
+	return r.ObservedAt + max(r.Lag, minRetryDelay)
 }
 
-// Behind reports whether the replica is not worth a try now.
-func (r Replica) Behind(now time.Duration) bool {
-	return now < min(r.ReadyAt(), r.Seen+sightingFor)
+// ShouldSkip reports whether reads should not be sent to the replica at
+// present.
+func (r Replica) ShouldSkip(now time.Duration) bool {
+	return now < min(r.ReadyAt(), r.ObservedAt+observationTTL)
 }
 
-// Soonest returns the replica that is expected to hold the floor first, and
-// when to ask it. It returns false if none will by the latest time.
-func Soonest(replicas []Replica, now, latest time.Duration) (Replica, time.Duration, bool) {
+// SoonestReady returns the replica that is expected to reach the floor first,
+// and when to send the read to it. It returns false if no replica is expected
+// to by the deadline.
+func SoonestReady(replicas []Replica, now, deadline time.Duration) (Replica, time.Duration, bool) {
 	var best Replica
-	bestAt, found := latest, false
+	bestAt, found := deadline, false
 	for _, r := range replicas {
 		if at := max(r.ReadyAt(), now); at <= bestAt && (!found || at < bestAt) {
 			best, bestAt, found = r, at, true
--- a/core/catchup/lag_test.go
+++ b/core/catchup/lag_test.go
@@ -11,89 +11,87 @@
 	"github.com/dotterelswitch/dotterelswitch/core/logpos"
 )
 
-// The load of a group whose replicas apply late; the rates are of the worst day
-// seen.
+// The simulated load on a group whose replica lags.
 const (
-	lagFrom, lagTo = time.Second, 7 * time.Second
-	lagBy          = 400 * ms
-	usualLag       = 50 * ms
-	// A commit every 5 ms; a read every 4 ms, of which the primary alone runs one
-	// in 5.5 ms.
-	commitEvery  = 5 * ms
-	readEvery    = 4 * ms
-	primaryEvery = 5500 * time.Microsecond
-	// A read follows its caller's commit by 20 ms and may wait for 600 ms.
-	afterCommit = 20 * ms
-	patience    = 600 * ms
-	lagLength   = 12 * time.Second
+	lagStart, lagEnd = time.Second, 7 * time.Second
+	injectedLag      = 400 * ms
+	normalLag        = 50 * ms
+	// The primary alone serves one read per primaryReadInterval, fewer than
+	// arrive.
+	commitInterval       = 5 * ms
+	readInterval         = 4 * ms
+	primaryReadInterval  = 5500 * time.Microsecond
+	readDelayAfterCommit = 20 * ms
+	maxReadWait          = 600 * ms
+	simulatedTime        = 12 * time.Second
 )
 
-// laggedGroup is a primary and a replica that falls behind, with the reads that
-// are sent to them.
-type laggedGroup struct {
-	// waits tells that reads may wait for the replica.
-	waits  bool
-	floors fresh.Floors
-	// held and seen are what was last seen of the replica's log, and when.
-	held logpos.Position
-	seen time.Duration
-	// primaryFree is when the primary takes the next read.
-	primaryFree     time.Duration
+// laggingGroup simulates a primary, a replica that lags, and the reads sent to
+// them.
+type laggingGroup struct {
+	// waitForReplica allows reads to wait for the replica.
+	waitForReplica bool
+	floors         fresh.Floors
+	// observed is the last known end of the replica's log, as of observedAt.
+	observed   logpos.Position
+	observedAt time.Duration
+	// primaryFreeAt is when the primary can take the next read.
+	primaryFreeAt   time.Duration
 	waiting         []waitingRead
 	served, refused int
 }
 
-// waitingRead is a read that waits for the replica.
+// waitingRead is a read that waits for the replica to reach its floor.
 type waitingRead struct {
-	floor     logpos.Position
-	at, until time.Duration
+	floor             logpos.Position
+	retryAt, deadline time.Duration
 }
 
-// log returns the end of a log that has all commits up to a moment.
-func log(upTo time.Duration) logpos.Position {
-	return logpos.Position{Term: 1, Offset: logpos.Offset(max(upTo, 0) / commitEvery)}
+// primaryLog returns the end of a log that contains all commits up to a time.
+func primaryLog(upTo time.Duration) logpos.Position {
+	return logpos.Position{Term: 1, Offset: logpos.Offset(max(upTo, 0) / commitInterval)}
 }
 
-// replicaLog returns the end of the replica's log. It never falls: what comes
-// late is applied in order.
+// replicaLog returns the end of the replica's log, which never moves back.
 func replicaLog(now time.Duration) logpos.Position {
-	if now >= lagFrom && now < lagTo {
-		return log(max(lagFrom-usualLag, now-lagBy))
+	if now >= lagStart && now < lagEnd {
+		return primaryLog(max(lagStart-normalLag, now-injectedLag))
 	}
-	return log(now - usualLag)
+	return primaryLog(now - normalLag)
 }
 
-// askReplica reports whether the replica serves a read at a floor.
-func (g *laggedGroup) askReplica(floor logpos.Position, now time.Duration) bool {
-	g.held, g.seen = replicaLog(now), now
-	return !g.held.Less(floor)
+// queryReplica reports whether the replica can serve a read at a floor.
+func (g *laggingGroup) queryReplica(floor logpos.Position, now time.Duration) bool {
+	g.observed, g.observedAt = replicaLog(now), now
+	return !g.observed.Less(floor)
 }
 
-func (g *laggedGroup) replica(floor logpos.Position) catchup.Replica {
-	distance, _ := g.floors.Distance(g.held, floor)
-	return catchup.Replica{Seen: g.seen, Holds: !g.held.Less(floor), Distance: distance}
+func (g *laggingGroup) replica(floor logpos.Position) catchup.Replica {
+	lag, _ := g.floors.Lag(g.observed, floor)
+	return catchup.Replica{ObservedAt: g.observedAt, HasFloor: !g.observed.Less(floor), Lag: lag}
 }
 
-// wait queues a read until the replica is expected to serve it, or refuses it.
-func (g *laggedGroup) wait(r waitingRead, now time.Duration) {
-	_, at, found := catchup.Soonest([]catchup.Replica{g.replica(r.floor)}, now, r.until)
-	if !g.waits || !found {
+// wait queues a read until the replica is expected to reach its floor, or
+// refuses it.
+func (g *laggingGroup) wait(r waitingRead, now time.Duration) {
+	_, at, found := catchup.SoonestReady([]catchup.Replica{g.replica(r.floor)}, now, r.deadline)
+	if !g.waitForReplica || !found {
 		g.refused++
 		return
 	}
-	r.at = at
+	r.retryAt = at
 	g.waiting = append(g.waiting, r)
 }
 
-// wake asks the replica for the reads whose time has come.
-func (g *laggedGroup) wake(now time.Duration) {
+// retryDue sends the waiting reads that are due to the replica.
+func (g *laggingGroup) retryDue(now time.Duration) {
 	due := g.waiting
 	g.waiting = nil
 	for _, r := range due {
 		switch {
-		case r.at > now:
+		case r.retryAt > now:
 			g.waiting = append(g.waiting, r)
-		case g.askReplica(r.floor, now):
+		case g.queryReplica(r.floor, now):
 			g.served++
 		default:
 			g.wait(r, now)
@@ -101,41 +99,40 @@
 	}
 }
 
-// read sends a read to the replica if that is not known to be behind, else to
-// the primary.
-func (g *laggedGroup) read(now time.Duration) {
-	floor := log(now - afterCommit)
-	if !g.replica(floor).Behind(now) && g.askReplica(floor, now) {
+// read sends a read to the replica unless that is known to lag, else to the
+// primary.
+func (g *laggingGroup) read(now time.Duration) {
+	floor := primaryLog(now - readDelayAfterCommit)
+	if !g.replica(floor).ShouldSkip(now) && g.queryReplica(floor, now) {
 		g.served++
 		return
 	}
-	if now >= g.primaryFree {
-		g.primaryFree = max(g.primaryFree+primaryEvery, now)
+	if now >= g.primaryFreeAt {
+		g.primaryFreeAt = max(g.primaryFreeAt+primaryReadInterval, now)
 		g.served++
 		return
 	}
-	g.wait(waitingRead{floor: floor, until: now + patience}, now)
+	g.wait(waitingRead{floor: floor, deadline: now + maxReadWait}, now)
 }
 
-func playLag(waits bool) *laggedGroup {
-	g := &laggedGroup{waits: waits}
-	for now := time.Duration(0); now < lagLength; now += ms {
-		g.floors.Observe(log(now), now)
-		g.wake(now)
-		if now%readEvery == 0 {
+func simulateLag(waitForReplica bool) *laggingGroup {
+	g := &laggingGroup{waitForReplica: waitForReplica}
+	for now := time.Duration(0); now < simulatedTime; now += ms {
+		g.floors.Observe(primaryLog(now), now)
+		g.retryDue(now)
+		if now%readInterval == 0 {
 			g.read(now)
 		}
 	}
 	return g
 }
 
-// TestReadsAreServedLateRatherThanRefused replays replicas that apply 400 ms
-// late for six seconds, with reads of the callers' own commits and more of them
-// than the primary runs: held until the replica has caught up with their
-// floors, hardly any is refused.
-func TestReadsAreServedLateRatherThanRefused(t *testing.T) {
-	without, with := playLag(false), playLag(true)
-	t.Logf("refused %d without waiting, %d with it", without.refused, with.refused)
-	require.Greater(t, without.refused, 200)
-	require.Less(t, with.refused, without.refused/10)
+// TestWaitingForReplicaAvoidsRefusals simulates replicas that apply 400 ms late
+// while reads of recent commits exceed the capacity of the primary: without
+// waiting, most of the excess is refused.
+func TestWaitingForReplicaAvoidsRefusals(t *testing.T) {
+	notWaiting, waiting := simulateLag(false), simulateLag(true)
+	t.Logf("refused %d without waiting, %d with it", notWaiting.refused, waiting.refused)
+	require.Greater(t, notWaiting.refused, 200)
+	require.Less(t, waiting.refused, notWaiting.refused/10)
 }
--- a/core/group/model_test.go
+++ b/core/group/model_test.go
@@ -42,7 +42,7 @@
 }
 
 func (m *modelMember) append(term logpos.Term) logpos.Position {
-	if m.history.Last() != term {
+	if m.history.LastTerm() != term {
 		m.history = append(m.history.Clone(), logpos.Fork{Term: term, Start: logpos.Offset(len(m.log))})
 	}
 	m.log = append(slices.Clip(m.log), term)
--- a/core/logpos/history.go
+++ b/core/logpos/history.go
@@ -2,8 +2,9 @@
 
 import "strings"
 
-// Fork is the point at which a term's entries begin: the first entry of Term
-// has the offset Start+1. Entries of older terms past Start were abandoned.
+// Fork is the point at which the entries of a term begin: the first entry of
+// Term has the offset Start+1. Entries of older terms after Start are not part
+// of the log.
 type Fork struct {
 	Term  Term
 	Start Offset
@@ -12,19 +13,19 @@
 // History lists the forks of one log, in ascending order of term.
 type History []Fork
 
-// Last returns the newest term of the history, or zero for an empty one.
-func (h History) Last() Term {
+// LastTerm returns the newest term of the history, or zero if it is empty.
+func (h History) LastTerm() Term {
 	if len(h) == 0 {
 		return 0
 	}
 	return h[len(h)-1].Term
 }
 
-// Clone returns a copy that shares no memory with h.
+// Clone returns a deep copy.
 func (h History) Clone() History { return append(History(nil), h...) }
 
-// After returns the oldest fork with a term above t.
-func (h History) After(t Term) (Fork, bool) {
+// ForkAfter returns the oldest fork with a term above t.
+func (h History) ForkAfter(t Term) (Fork, bool) {
 	for _, f := range h {
 		if f.Term > t {
 			return f, true
@@ -33,8 +34,8 @@
 	return Fork{}, false
 }
 
-// Has reports whether term t wrote part of this log.
-func (h History) Has(t Term) bool {
+// HasTerm reports whether the log has entries of term t.
+func (h History) HasTerm(t Term) bool {
 	for _, f := range h {
 		if f.Term == t {
 			return true
@@ -43,26 +44,26 @@
 	return false
 }
 
-// Contains reports whether the entry at p lies on this log's branch. An entry
-// of a term that is missing from the history lies on an abandoned branch, even
-// where its offset is small.
+// Contains reports whether the entry at p is on the branch of this log. An
+// entry whose term is missing from the history is on an abandoned branch,
+// whatever its offset.
 func (h History) Contains(p Position) bool {
 	if p.Offset == 0 {
 		return true
 	}
-	if !h.Has(p.Term) {
+	if !h.HasTerm(p.Term) {
 		return false
 	}
-	next, found := h.After(p.Term)
+	next, found := h.ForkAfter(p.Term)
 	return !found || p.Offset <= next.Start
 }
 
-// Clamp maps p to the largest offset that a reader of p can find on this
-// branch. The result never exceeds what the branch holds for terms up to
-// p.Term, so nobody waits for an entry that no longer exists. The second result
-// reports whether entries of p were abandoned.
+// Clamp maps p to an offset on this branch: p's own offset, or the start of the
+// next term's fork if p is past it, so that a reader never waits for an entry
+// that no longer exists. The second result reports whether entries up to p were
+// abandoned.
 func (h History) Clamp(p Position) (Offset, bool) {
-	next, found := h.After(p.Term)
+	next, found := h.ForkAfter(p.Term)
 	if !found || p.Offset <= next.Start {
 		return p.Offset, !h.Contains(p)
 	}
@@ -78,7 +79,7 @@
 	return strings.Join(parts, ",")
 }
 
-// ParseHistory reads the form written by String.
+// ParseHistory parses the output of String. The error is a *ParseError.
 func ParseHistory(s string) (History, error) {
 	if s == "" {
 		return nil, nil
@@ -89,7 +90,7 @@
 		if err != nil {
 			return nil, err
 		}
-		if p.Term <= h.Last() {
+		if p.Term <= h.LastTerm() {
 			return nil, &ParseError{Text: s}
 		}
 		h = append(h, Fork{Term: p.Term, Start: p.Offset})
--- a/core/logpos/logpos_test.go
+++ b/core/logpos/logpos_test.go
@@ -33,12 +33,12 @@
 func TestTextRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		h, p := drawHistory(t), drawPosition(t)
-		back, err := logpos.ParseHistory(h.String())
+		parsedHistory, err := logpos.ParseHistory(h.String())
 		require.NoError(t, err)
-		require.Equal(t, h, back)
-		same, err := logpos.Parse(p.String())
+		require.Equal(t, h, parsedHistory)
+		parsedPosition, err := logpos.Parse(p.String())
 		require.NoError(t, err)
-		require.Equal(t, p, same)
+		require.Equal(t, p, parsedPosition)
 	})
 }
 
@@ -52,14 +52,14 @@
 	require.Error(t, err, "terms must ascend")
 }
 
-// TestClamp checks that a clamped position is never past the next fork, and
-// that positions on the branch are left alone.
+// TestClamp checks that a clamped position is never past the next fork and that
+// positions on the branch are unchanged.
 func TestClamp(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		h, p := drawHistory(t), drawPosition(t)
 		offset, crossed := h.Clamp(p)
 		require.LessOrEqual(t, offset, p.Offset)
-		if next, found := h.After(p.Term); found {
+		if next, found := h.ForkAfter(p.Term); found {
 			require.LessOrEqual(t, offset, next.Start)
 		}
 		if h.Contains(p) {
--- a/core/succession/choose.go
+++ b/core/succession/choose.go
@@ -7,19 +7,19 @@
 	"github.com/dotterelswitch/dotterelswitch/core/statement"
 )
 
-// Report is a replica's answer during a promotion.
+// Report is the status that a replica returned during a promotion.
 type Report struct {
 	ID      string
 	Leaving bool
 	Status  statement.Status
 }
 
-// Choose picks the member to promote: the one whose log is furthest, because
-// only what it has received survives. Of equal logs a member that stays goes
-// before one that leaves. Replicas is how many there are, and syncReplicas how
-// many hold every acknowledged commit: unless enough of them answered to
-// include one of those, nothing is chosen.
-func Choose(reports []Report, replicas, syncReplicas int) (Report, bool) {
+// ChooseCandidate returns the member to promote: the one with the most advanced
+// log, since entries that it has not received are lost. Among equal logs, a
+// member that stays is preferred to one that is leaving. Replicas is the number
+// of replicas, and syncReplicas how many of them hold every acknowledged
+// commit: unless the reports must include one of those, it returns false.
+func ChooseCandidate(reports []Report, replicas, syncReplicas int) (Report, bool) {
 	if len(reports) == 0 {
 		return Report{}, false
 	}
--- a/core/succession/lock.go
+++ b/core/succession/lock.go
@@ -2,28 +2,27 @@
 
 import "github.com/dotterelswitch/dotterelswitch/core/store"
 
-// Lock is the promotion lock of a service as the platform's store has it. Its
-// revision is the fencing token of the host that holds it: each taking of the
-// lock gives a higher one, also after the store has returned from an older copy, and
-// the platform refuses calls with an older one.
+// Lock is the promotion lock of a service in the platform's store. Its revision
+// is the fencing token of the holder: each acquisition returns a higher one,
+// also after the store has been restored from an older copy, and the platform
+// refuses calls with an older token.
 //
-// The holder leads the promotions of the service for as long as its lease runs.
-// So at a loss there is one host that has a token to act with already, whether
-// or not the store answers just then.
+// The holder leads the promotions of the service for as long as its lease runs,
+// so that after the loss of a primary one host already has a token and does not
+// depend on the store.
 type Lock struct {
-	// Holder is the host that holds the lock; empty while nobody does.
+	// Holder is the host that holds the lock, or the empty string.
 	Holder   string
 	Revision store.Revision
 }
 
-// Token returns the fencing token of the host that holds the lock.
+// Token returns the fencing token of the holder.
 func (l Lock) Token() uint64 { return uint64(l.Revision) }
 
-// MayLead reports whether the holder of a lock may lead a promotion with the
-// token that it has. One that does not reach the store may have lost the lock
-// without hearing of it: the hosts that reach the store must still see it there.
-// The platform's fence is what makes it safe; this keeps two hosts from working
-// against each other.
+// MayLead reports whether self may lead a promotion with the token it holds. A
+// host that cannot reach the store may have lost the lock without noticing, so
+// every host that can reach it must still see the same token. Safety comes from
+// fencing by the platform; this check avoids concurrent promotions.
 func MayLead(self string, lock Lock, storeReached bool, opinions []Opinion) bool {
 	if lock.Holder != self {
 		return false
--- a/core/succession/opinion.go
+++ b/core/succession/opinion.go
@@ -5,66 +5,66 @@
 	"time"
 )
 
-// Opinion is what another host says of a primary that this one has lost.
+// Opinion is what another host reports about a primary that this host suspects.
 type Opinion struct {
 	Host string
-	// Dead tells that it has lost that primary as well.
+	// Dead reports that the host suspects that primary as well.
 	Dead bool
-	// Reaches tells that the primary has answered it lately.
+	// Reaches reports that the primary has recently answered the host.
 	Reaches bool
-	// StoreReached tells that it reaches the platform's store.
+	// StoreReached reports that the host can reach the platform's store.
 	StoreReached bool
-	// Lock is the token of the service's promotion lock that it knows; zero while
-	// nobody holds the lock.
+	// Lock is the token of the service's promotion lock as known to the host,
+	// or zero if nobody holds the lock.
 	Lock uint64
-	// Leading tells that it leads a promotion of the service, or is about to.
+	// Leading reports that the host leads a promotion of the service, or is
+	// about to.
 	Leading bool
 }
 
-// opinionFor is how long an opinion counts: several questions to a host, each of
-// a round trip between regions.
-const opinionFor = 500 * time.Millisecond
+// opinionTTL is how long an opinion is valid. It allows for several requests to
+// a host, each with a round trip between regions.
+const opinionTTL = 500 * time.Millisecond
 
-// Opinions are the newest opinions of other hosts on one primary. It is not safe
-// for concurrent use.
+// Opinions holds the newest opinion of each other host on one primary. It is
+// not safe for concurrent use.
 type Opinions struct {
 	primary string
-	byHost  map[string]heard
+	byHost  map[string]timedOpinion
 }
 
-// heard is an opinion and when it was asked for.
-type heard struct {
+type timedOpinion struct {
 	Opinion
-	asked time.Duration
+	askedAt time.Duration
 }
 
-// Hear takes an opinion on a primary that was asked for at the given time. Those
-// on another primary are dropped.
-func (o *Opinions) Hear(primary string, x Opinion, asked time.Duration) {
+// Record stores an opinion on a primary that was requested at the given time.
+// It drops the opinions on any other primary.
+func (o *Opinions) Record(primary string, x Opinion, asked time.Duration) {
 	if o.primary != primary {
-		o.primary, o.byHost = primary, map[string]heard{}
+		o.primary, o.byHost = primary, map[string]timedOpinion{}
 	}
-	if old, found := o.byHost[x.Host]; !found || old.asked <= asked {
-		o.byHost[x.Host] = heard{Opinion: x, asked: asked}
+	if old, found := o.byHost[x.Host]; !found || old.askedAt <= asked {
+		o.byHost[x.Host] = timedOpinion{Opinion: x, askedAt: asked}
 	}
 }
 
-// Of returns the opinions on a primary that still count.
-func (o *Opinions) Of(primary string, now time.Duration) []Opinion {
+// Current returns the opinions on a primary that have not expired.
+func (o *Opinions) Current(primary string, now time.Duration) []Opinion {
 	if o.primary != primary {
 		return nil
 	}
 	var out []Opinion
 	for _, h := range o.byHost {
-		if now-h.asked <= opinionFor {
+		if now-h.askedAt <= opinionTTL {
 			out = append(out, h.Opinion)
 		}
 	}
 	return out
 }
 
-// Reaching returns the hosts that the primary answers.
-func Reaching(opinions []Opinion) []string {
+// HostsReaching returns, sorted, the hosts that the primary answers.
+func HostsReaching(opinions []Opinion) []string {
 	var out []string
 	for _, o := range opinions {
 		if o.Reaches && !o.Dead {
@@ -75,8 +75,8 @@
 	return out
 }
 
-// Suspecting returns the hosts that have lost the primary.
-func Suspecting(opinions []Opinion) []string {
+// HostsSuspecting returns the hosts that suspect the primary.
+func HostsSuspecting(opinions []Opinion) []string {
 	var out []string
 	for _, o := range opinions {
 		if o.Dead {
--- a/core/succession/succession_test.go
+++ b/core/succession/succession_test.go
@@ -21,44 +21,44 @@
 	return succession.Report{ID: id, Leaving: leaving, Status: statement.Status{Received: p}}
 }
 
-func TestChoosesTheFurthestLog(t *testing.T) {
-	got, ok := succession.Choose([]succession.Report{report("a", 3, 10, false), report("b", 3, 12, true)}, 2, 0)
+func TestChoosesMostAdvancedLog(t *testing.T) {
+	got, ok := succession.ChooseCandidate([]succession.Report{report("a", 3, 10, false), report("b", 3, 12, true)}, 2, 0)
 	require.True(t, ok)
-	require.Equal(t, "b", got.ID, "what the other lacks would be lost")
-	got, _ = succession.Choose([]succession.Report{report("a", 4, 2, false), report("b", 3, 12, false)}, 2, 0)
-	require.Equal(t, "a", got.ID, "a newer term goes before a longer log")
-	got, _ = succession.Choose([]succession.Report{report("a", 3, 12, true), report("b", 3, 12, false)}, 2, 0)
-	require.Equal(t, "b", got.ID, "of equal logs the member that stays")
+	require.Equal(t, "b", got.ID, "entries after the shorter log would be lost")
+	got, _ = succession.ChooseCandidate([]succession.Report{report("a", 4, 2, false), report("b", 3, 12, false)}, 2, 0)
+	require.Equal(t, "a", got.ID, "a newer term takes precedence over a longer log")
+	got, _ = succession.ChooseCandidate([]succession.Report{report("a", 3, 12, true), report("b", 3, 12, false)}, 2, 0)
+	require.Equal(t, "b", got.ID, "among equal logs, a leaving member is not preferred")
 }
 
-func TestChoosesNothingOutOfNothing(t *testing.T) {
-	_, ok := succession.Choose(nil, 2, 0)
+func TestNoReportsGiveNoCandidate(t *testing.T) {
+	_, ok := succession.ChooseCandidate(nil, 2, 0)
 	require.False(t, ok)
 }
 
-// TestAcknowledgedCommitSurvives: with commits on n replicas before they are
-// acknowledged, whatever is chosen holds all of them.
+// TestAcknowledgedCommitSurvives: if every acknowledged commit is on
+// syncReplicas replicas, the candidate holds all acknowledged commits.
 func TestAcknowledgedCommitSurvives(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		replicas := rapid.IntRange(1, 5).Draw(t, "replicas")
 		sync := rapid.IntRange(1, replicas).Draw(t, "sync")
-		all := make([]succession.Report, replicas)
-		for i := range all {
-			all[i] = report(string(rune('a'+i)), 1, rapid.IntRange(0, 20).Draw(t, "offset"), rapid.Bool().Draw(t, "leaving"))
+		reports := make([]succession.Report, replicas)
+		for i := range reports {
+			reports[i] = report(string(rune('a'+i)), 1, rapid.IntRange(0, 20).Draw(t, "offset"), rapid.Bool().Draw(t, "leaving"))
 		}
 		// The newest acknowledged commit is on sync replicas.
 		offsets := make([]int, replicas)
-		for i, r := range all {
+		for i, r := range reports {
 			offsets[i] = int(r.Status.Received.Offset)
 		}
 		acknowledged := nthHighest(offsets, sync)
 		var answered []succession.Report
-		for _, r := range all {
+		for _, r := range reports {
 			if rapid.Bool().Draw(t, "answers") {
 				answered = append(answered, r)
 			}
 		}
-		got, ok := succession.Choose(answered, replicas, sync)
+		got, ok := succession.ChooseCandidate(answered, replicas, sync)
 		if ok && int(got.Status.Received.Offset) < acknowledged {
 			t.Fatalf("chose %d, acknowledged %d", got.Status.Received.Offset, acknowledged)
 		}
@@ -80,20 +80,20 @@
 	return 0
 }
 
-// TestMinorityDoesNotReplace: a cut between the primary and some hosts must
-// not roll back what the others had acknowledged.
-func TestMinorityDoesNotReplace(t *testing.T) {
+// TestMinorityDoesNotReplacePrimary: a partition between the primary and a
+// minority of hosts must not roll back writes that the others acknowledged.
+func TestMinorityDoesNotReplacePrimary(t *testing.T) {
 	live := []string{"a", "b", "c", "d"}
-	require.False(t, succession.Lost([]string{"a", "b"}, live))
-	require.True(t, succession.Lost([]string{"a", "b", "c"}, live))
-	require.False(t, succession.Lost([]string{"x", "y", "z"}, live), "hosts that are gone have no voice")
-	require.False(t, succession.Lost([]string{"a"}, nil), "nothing is known of the fleet")
-	require.True(t, succession.Lost([]string{"a"}, []string{"a"}))
+	require.False(t, succession.MajoritySuspects([]string{"a", "b"}, live))
+	require.True(t, succession.MajoritySuspects([]string{"a", "b", "c"}, live))
+	require.False(t, succession.MajoritySuspects([]string{"x", "y", "z"}, live), "hosts that are not voters do not count")
+	require.False(t, succession.MajoritySuspects([]string{"a"}, nil), "without known voters there is no majority")
+	require.True(t, succession.MajoritySuspects([]string{"a"}, []string{"a"}))
 }
 
-// TestVotersAreFewAndAgreed: all hosts name the same voters whatever order they
-// know the fleet in, and a host that joins or leaves changes few of them.
-func TestVotersAreFewAndAgreed(t *testing.T) {
+// TestVotersAreLimitedAndStable: the voters do not depend on the order of the
+// hosts, and a host that joins replaces at most one voter.
+func TestVotersAreLimitedAndStable(t *testing.T) {
 	var fleet []string
 	for i := range 60 {
 		fleet = append(fleet, "host-"+strconv.Itoa(i))
@@ -114,57 +114,58 @@
 	require.Len(t, succession.Voters("svc", fleet[:4]), 4)
 }
 
-func TestBelief(t *testing.T) {
-	var b succession.Belief
-	b.Claimed("a", 5)
-	require.Equal(t, "a", b.Primary())
-	b.Proved("b", 3)
-	require.Equal(t, "b", b.Primary())
-	b.Claimed("a", 5)
-	require.Equal(t, "b", b.Primary(), "an entry that was heard before proves nothing anew")
-	b.Proved("a", 2)
-	require.Equal(t, "b", b.Primary(), "an answer of an older term came late")
-	b.Denied("a")
-	require.Equal(t, "b", b.Primary())
-	b.Denied("b")
-	require.Empty(t, b.Primary())
-	b.Told("b", 3)
-	require.Empty(t, b.Primary(), "another host has not heard of the denial yet")
-	b.Claimed("c", 9)
-	require.Equal(t, "c", b.Primary())
-	b.Resigned("c")
-	require.Empty(t, b.Primary())
+func TestPrimaryTracker(t *testing.T) {
+	var tracker succession.PrimaryTracker
+	tracker.ObserveClaim("a", 5)
+	require.Equal(t, "a", tracker.Primary())
+	tracker.ObserveProof("b", 3)
+	require.Equal(t, "b", tracker.Primary())
+	tracker.ObserveClaim("a", 5)
+	require.Equal(t, "b", tracker.Primary(), "a claim of the same revision is ignored")
+	tracker.ObserveProof("a", 2)
+	require.Equal(t, "b", tracker.Primary(), "a late proof of an older term is ignored")
+	tracker.ObserveDenial("a")
+	require.Equal(t, "b", tracker.Primary())
+	tracker.ObserveDenial("b")
+	require.Empty(t, tracker.Primary())
+	tracker.ObservePeerProof("b", 3)
+	require.Empty(t, tracker.Primary(), "the other host may not know of the denial yet")
+	tracker.ObserveClaim("c", 9)
+	require.Equal(t, "c", tracker.Primary())
+	tracker.ObserveResignation("c")
+	require.Empty(t, tracker.Primary())
 }
 
-// TestClaimOfAMemberThatIsNotThereCostsNoPrimary replays the entry of an ended
-// life, carried out late by the store, which calls itself primary.
-func TestClaimOfAMemberThatIsNotThereCostsNoPrimary(t *testing.T) {
-	var b succession.Belief
-	b.Proved("a", 3)
-	b.Claimed("ghost", 20)
-	require.Equal(t, "ghost", b.Primary(), "a new primary is known by its claim first")
-	b.Denied("ghost")
-	require.Equal(t, "a", b.Primary())
-	b.Claimed("ghost", 21)
-	b.Denied("a")
-	b.Denied("ghost")
-	require.Empty(t, b.Primary(), "the proof does not outlive a denial")
+// TestDeniedClaimRestoresProvenPrimary covers a stale directory entry, written
+// late by the store, of a member that no longer exists and claims to be the
+// primary.
+func TestDeniedClaimRestoresProvenPrimary(t *testing.T) {
+	var tracker succession.PrimaryTracker
+	tracker.ObserveProof("a", 3)
+	tracker.ObserveClaim("gone", 20)
+	require.Equal(t, "gone", tracker.Primary(), "a newer claim is accepted before its proof")
+	tracker.ObserveDenial("gone")
+	require.Equal(t, "a", tracker.Primary())
+	tracker.ObserveClaim("gone", 21)
+	tracker.ObserveDenial("a")
+	tracker.ObserveDenial("gone")
+	require.Empty(t, tracker.Primary(), "a denial invalidates the proof")
 }
 
-// TestHostWithoutAPrimaryBelievesWhatOthersProved: a host that keeps no
-// connection to the primary has only others to hear it from.
-func TestHostWithoutAPrimaryBelievesWhatOthersProved(t *testing.T) {
-	var b succession.Belief
-	b.Told("a", 3)
-	require.Equal(t, "a", b.Primary())
-	b.Told("b", 3)
-	require.Equal(t, "a", b.Primary())
-	b.Told("c", 4)
-	require.Equal(t, "c", b.Primary())
-	b.Claimed("ghost", 9)
-	b.Resigned("c")
-	b.Denied("ghost")
-	require.Empty(t, b.Primary())
-	b.Told("c", 4)
-	require.Equal(t, "c", b.Primary())
+// TestPeerProofGivesPrimaryToHostWithoutOne: a host without a connection to the
+// primary learns of it only from other hosts.
+func TestPeerProofGivesPrimaryToHostWithoutOne(t *testing.T) {
+	var tracker succession.PrimaryTracker
+	tracker.ObservePeerProof("a", 3)
+	require.Equal(t, "a", tracker.Primary())
+	tracker.ObservePeerProof("b", 3)
+	require.Equal(t, "a", tracker.Primary())
+	tracker.ObservePeerProof("c", 4)
+	require.Equal(t, "c", tracker.Primary())
+	tracker.ObserveClaim("gone", 9)
+	tracker.ObserveResignation("c")
+	tracker.ObserveDenial("gone")
+	require.Empty(t, tracker.Primary())
+	tracker.ObservePeerProof("c", 4)
+	require.Equal(t, "c", tracker.Primary())
 }
--- /dev/null
+++ b/core/succession/voters.go
@@ -0,0 +1,84 @@
+package succession
+
+import (
+	"slices"
+
+	"github.com/dotterelswitch/dotterelswitch/core/gates"
+	"github.com/dotterelswitch/dotterelswitch/core/membership"
+)
+
+// MaxVoters is the maximum number of hosts that vote on the failure of a
+// primary. Each voter costs a member a connection and the store a write. Voters
+// are selected by hashing, so that they are spread over the fleet and see a
+// network partition as the fleet does.
+const MaxVoters = 9
+
+// RankHosts returns the hosts in their order of responsibility for a service,
+// which differs between services.
+func RankHosts(service string, live []string) []string {
+	return membership.RankBy(service, live, func(host string) string { return host })
+}
+
+// Voters returns the hosts that vote on the failure of a service's primary.
+func Voters(service string, live []string) []string { return topVoters(service, live).Names() }
+
+func topVoters(service string, live []string) *membership.Top {
+	top := membership.NewTop(service, MaxVoters)
+	for _, host := range live {
+		top.Join(host, 0)
+	}
+	return top
+}
+
+// VoterSet maintains the voters of a service incrementally as the fleet
+// changes, so that a change of one host does not cost a sort of the whole fleet
+// for every service. It is not safe for concurrent use.
+type VoterSet struct {
+	service string
+	// generation is the generation of the fleet that voters was computed from.
+	generation uint64
+	voters     *membership.Top
+}
+
+// NewVoterSet returns an empty voter set, which is filled on first use.
+func NewVoterSet(service string) *VoterSet { return &VoterSet{service: service} }
+
+// IsVoter reports whether a host of fleet f votes on the primary.
+func (v *VoterSet) IsVoter(host string, f gates.Fleet) bool {
+	v.update(f)
+	return v.voters.Contains(host)
+}
+
+// update applies the changes up to fleet f.
+func (v *VoterSet) update(f gates.Fleet) {
+	change, known := f.Since(v.generation)
+	v.generation = f.Generation()
+	if known {
+		for _, h := range change.Left {
+			v.voters.Leave(h.Name)
+		}
+		for _, h := range change.Joined {
+			v.voters.Join(h.Name, 0)
+		}
+	}
+	if !known || v.voters.Stale() {
+		v.voters = topVoters(v.service, f.Names())
+	}
+}
+
+// MajoritySuspects reports whether more than half of the voters suspect the
+// primary, which is required to replace it. A partition between the primary and
+// a minority of hosts must not roll back writes that the other hosts
+// acknowledged.
+func MajoritySuspects(suspecting, voters []string) bool {
+	if len(voters) == 0 {
+		return false
+	}
+	count := 0
+	for _, host := range suspecting {
+		if slices.Contains(voters, host) {
+			count++
+		}
+	}
+	return 2*count > len(voters)
+}
--- a/node/promoter/ask.go
+++ b/node/promoter/ask.go
@@ -45,7 +45,7 @@
 func (p *Promoter) deputyFrom() time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return max(p.lostSince, p.leaderSeen) + succession.DeputyAfter - askTime
+	return max(p.lostSince, p.leaderSeen) + succession.TakeoverDelay - askTime
 }
 
 // subject names the primary in doubt.
@@ -79,7 +79,7 @@
 		return
 	}
 	p.mu.Lock()
-	p.opinions.Hear(life, o, asked)
+	p.opinions.Record(life, o, asked)
 	if o.Leading {
 		p.leaderSeen = max(p.leaderSeen, asked)
 	}
--- a/node/promoter/detour.go
+++ b/node/promoter/detour.go
@@ -16,7 +16,7 @@
 		return
 	}
 	p.mu.Lock()
-	reaching := succession.Reaching(p.opinions.Of(p.lost, now))
+	reaching := succession.HostsReaching(p.opinions.Current(p.lost, now))
 	p.mu.Unlock()
 	var addresses []string
 	for _, host := range reaching {
--- a/node/promoter/evidence.go
+++ b/node/promoter/evidence.go
@@ -125,7 +125,7 @@
 // they have lost a primary.
 func (p *Promoter) suspecting(life string, now time.Duration) []string {
 	p.mu.Lock()
-	told := succession.Suspecting(p.opinions.Of(life, now))
+	told := succession.HostsSuspecting(p.opinions.Current(life, now))
 	p.mu.Unlock()
 	if !p.without.Has(mechanism.DirectVotes) {
 		told = nil
@@ -144,7 +144,7 @@
 	if !slices.Contains(suspecting, p.host) {
 		suspecting = append(suspecting, p.host)
 	}
-	return succession.Lost(suspecting, p.voters())
+	return succession.MajoritySuspects(suspecting, p.voters())
 }
 
 func (p *Promoter) voters() []string {
--- a/node/promoter/lead.go
+++ b/node/promoter/lead.go
@@ -21,7 +21,7 @@
 	p.mu.Lock()
 	quiet := now < p.quietUntil
 	holds := lock.Holder == p.host && lock.Token() == p.token && lock.Token() > p.fenced
-	opinions := p.opinions.Of(life, now)
+	opinions := p.opinions.Current(life, now)
 	p.mu.Unlock()
 	away := p.registry.Away()
 	able := !quiet && holds && p.without.Has(mechanism.StandingLeader) && succession.MayLead(p.host, lock, !away, opinions)
@@ -42,13 +42,13 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	vacant := lock.Holder == "" || lock.Holder == p.host || !p.without.Has(mechanism.StandingLeader)
-	return succession.Turn(rank, vacant, p.readySince, p.leaderSeen)
+	return succession.EarliestStart(rank, vacant, p.readySince, p.leaderSeen)
 }
 
 // rank is this host's place in the order in which hosts take the lock from its
 // holder.
 func (p *Promoter) rank(holder string) int {
-	order := slices.DeleteFunc(succession.Order(p.service, p.registry.Hosts()), func(host string) bool {
+	order := slices.DeleteFunc(succession.RankHosts(p.service, p.registry.Hosts()), func(host string) bool {
 		return host == holder && host != p.host
 	})
 	return max(slices.Index(order, p.host), 0)
--- a/node/promoter/replace.go
+++ b/node/promoter/replace.go
@@ -49,7 +49,7 @@
 		p.resume(ctx, reports)
 		return errRecovered
 	}
-	chosen, ok := succession.Choose(reports, p.replicas(failed), p.spec().SyncReplicas)
+	chosen, ok := succession.ChooseCandidate(reports, p.replicas(failed), p.spec().SyncReplicas)
 	if !ok {
 		p.resume(ctx, reports)
 		return errNoCandidate
@@ -96,7 +96,7 @@
 			}
 			leading[r.ID] = r.Status.Primary
 		}
-		if _, ok := succession.Choose(reports, p.replicas(failed), p.spec().SyncReplicas); ok {
+		if _, ok := succession.ChooseCandidate(reports, p.replicas(failed), p.spec().SyncReplicas); ok {
 			return reports, nil
 		}
 		if ctx.Err() != nil {
--- a/node/replicaset/floors.go
+++ b/node/replicaset/floors.go
@@ -71,9 +71,9 @@
 func (s *Set) LearnFloor(f Floor) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.floors.ObserveIn(f.Lead.Term, f.Position, f.Sent)
+	s.floors.ObserveInTerm(f.Lead.Term, f.Position, f.Sent)
 	if f.Lead.Primary != "" {
-		s.reached.Heard(f.Lead.Primary, f.Lead.Term, f.Position, clock.Now())
+		s.reached.Observe(f.Lead.Primary, f.Lead.Term, f.Position, clock.Now())
 	}
 	s.told(f.Lead)
 	close(s.learned)
@@ -91,7 +91,7 @@
 func (s *Set) told(l Lead) {
 	before := s.belief.Primary()
 	if _, known := s.members[l.Primary]; known {
-		s.belief.Told(l.Primary, l.Term)
+		s.belief.ObservePeerProof(l.Primary, l.Term)
 		s.notePrimary(before, "peer")
 	}
 }
--- a/node/replicaset/pick_reader.go
+++ b/node/replicaset/pick_reader.go
@@ -152,7 +152,7 @@
 		}
 		c := m.candidate(primary, now)
 		c.Foreign = home != "" && id != home && id != primary
-		c.Behind = id != primary && s.replica(m, floor).Behind(now)
+		c.Behind = id != primary && s.replica(m, floor).ShouldSkip(now)
 		if e.Leaving {
 			leaving = append(leaving, c)
 		} else {
@@ -184,11 +184,11 @@
 // is called with mu held.
 func (s *Set) replica(m *Member, floor logpos.Position) catchup.Replica {
 	held, seen := m.lastHeld()
-	distance, known := s.floors.Distance(held, floor)
+	distance, known := s.floors.Lag(held, floor)
 	if !known {
-		distance = catchup.Unknown
+		distance = catchup.UnknownLag
 	}
-	return catchup.Replica{ID: m.id, Seen: seen, Holds: !held.Less(floor), Distance: distance}
+	return catchup.Replica{ID: m.id, ObservedAt: seen, HasFloor: !held.Less(floor), Lag: distance}
 }
 
 // awaitReplica waits until a replica that is behind is expected to hold the
@@ -197,7 +197,7 @@
 	if !a.staysAt(floor) || !a.set.without.Has(mechanism.ReplicaWait) {
 		return nil, false
 	}
-	best, at, found := catchup.Soonest(a.set.laggards(t, floor, now), now, a.work.StartBy)
+	best, at, found := catchup.SoonestReady(a.set.laggards(t, floor, now), now, a.work.StartBy)
 	if !found || !clock.Sleep(ctx, at-now) {
 		return nil, false
 	}
@@ -216,7 +216,7 @@
 		}
 		r := s.replica(m, floor)
 		// One that was asked has said that it does not hold this very floor.
-		r.Holds = r.Holds && !t.asked[id]
+		r.HasFloor = r.HasFloor && !t.asked[id]
 		out = append(out, r)
 	}
 	return out
--- a/node/replicaset/primary.go
+++ b/node/replicaset/primary.go
@@ -35,7 +35,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	before := s.belief.Primary()
-	s.belief.Denied(m.id)
+	s.belief.ObserveDenial(m.id)
 	s.notePrimary(before, "refused as replica")
 }
 
@@ -44,22 +44,22 @@
 func (s *Set) proved(m *Member, p logpos.Position, sent time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.provedIn(m, s.belief.LeadOf(m.id, p), p, sent)
+	s.provedIn(m, s.belief.LeadTerm(m.id, p), p, sent)
 }
 
 // provedIn notes that a member has proved its lead in a term. It is called with
 // mu held.
 func (s *Set) provedIn(m *Member, term logpos.Term, p logpos.Position, sent time.Duration) {
 	before := s.belief.Primary()
-	if s.reached.Forgotten(m.id, term, p, sent) {
-		s.belief.Denied(m.id)
+	if s.reached.Regressed(m.id, term, p, sent) {
+		s.belief.ObserveDenial(m.id)
 		s.notePrimary(before, "lost its log")
 		return
 	}
-	s.reached.Heard(m.id, term, p, clock.Now())
-	s.floors.ObserveIn(term, p, sent)
+	s.reached.Observe(m.id, term, p, clock.Now())
+	s.floors.ObserveInTerm(term, p, sent)
 	if _, known := s.members[m.id]; known {
-		s.belief.Proved(m.id, term)
+		s.belief.ObserveProof(m.id, term)
 	}
 	s.notePrimary(before, "proof")
 }
@@ -93,7 +93,7 @@
 func (s *Set) forgot(m *Member, p logpos.Position, sent time.Duration) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.reached.Forgotten(m.id, s.belief.LeadOf(m.id, p), p, sent)
+	return s.reached.Regressed(m.id, s.belief.LeadTerm(m.id, p), p, sent)
 }
 
 // LostLog reports whether what a member says of itself as a primary shows that it
@@ -101,7 +101,7 @@
 func (s *Set) LostLog(id string, st statement.Status) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.reached.Forgotten(id, st.Term, st.Received, clock.Now())
+	return s.reached.Regressed(id, st.Term, st.Received, clock.Now())
 }
 
 // Primary returns the member believed to be the primary, if it may be used: it
--- a/node/replicaset/read.go
+++ b/node/replicaset/read.go
@@ -130,7 +130,7 @@
 	if !a.staysAt(floor) {
 		return false
 	}
-	_, at, found := catchup.Soonest(a.set.laggards(newTried(), floor, now), now, a.work.StartBy)
+	_, at, found := catchup.SoonestReady(a.set.laggards(newTried(), floor, now), now, a.work.StartBy)
 	return found && at > now
 }
 
--- a/node/replicaset/set.go
+++ b/node/replicaset/set.go
@@ -118,10 +118,10 @@
 	shares *gates.Shares
 	// votes tells that this host is one of those that judge the primary.
 	votes      bool
-	electorate *succession.Electorate
-	belief     succession.Belief
+	electorate *succession.VoterSet
+	belief     succession.PrimaryTracker
 	// reached is how far the newest primary's log is known to go.
-	reached succession.HighWater
+	reached succession.HighWaterMark
 	floors  fresh.Floors
 	// wroteIn is the newest term in which a write was acknowledged here.
 	wroteIn logpos.Term
@@ -143,7 +143,7 @@
 		ask: cfg.AskPeers, suspect: cfg.Suspected, remote: cfg.Remote, owner: cfg.Owner, host: cfg.Host, without: cfg.Without, learned: make(chan struct{}),
 		log:       cfg.Log.With().Str("service", cfg.Service).Logger(),
 		attention: make(chan struct{}, 1), members: map[string]*Member{}, changed: make(chan struct{}),
-		shares: gates.NewShares(cfg.Host), electorate: succession.NewElectorate(cfg.Service),
+		shares: gates.NewShares(cfg.Host), electorate: succession.NewVoterSet(cfg.Service),
 	}
 }
 
@@ -152,7 +152,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	plan := gates.NewPlan(fleet, spec.MaxConnections-reservedConnections)
-	s.votes = s.electorate.Votes(s.host, fleet)
+	s.votes = s.electorate.IsVoter(s.host, fleet)
 	before := s.belief.Primary()
 	listed := map[string]bool{}
 	for _, e := range members {
@@ -160,17 +160,17 @@
 		share := s.shareOf(plan, gates.Member{ID: e.ID, Zone: e.Zone, Slots: e.Slots})
 		m := s.present(e, share)
 		if e.Primary && m.mayClaim(e) {
-			s.belief.Claimed(e.ID, e.RoleRevision)
+			s.belief.ObserveClaim(e.ID, e.RoleRevision)
 		}
 		if !e.Primary {
-			s.belief.Resigned(e.ID)
+			s.belief.ObserveResignation(e.ID)
 		}
 	}
 	for id, m := range s.members {
 		if !listed[id] {
 			delete(s.members, id)
 			s.shares.Forget(id)
-			s.belief.Resigned(id)
+			s.belief.ObserveResignation(id)
 			m.remove()
 			eventlog.UpstreamGone.Info(s.log).Str("upstream", id).Send()
 		}
@@ -205,7 +205,7 @@
 	// its lead and its health are void, and an answer that is still awaited of it
 	// will not come.
 	next.restarted = e.RoleRevision
-	s.belief.Resigned(e.ID)
+	s.belief.ObserveResignation(e.ID)
 	m.end()
 	eventlog.UpstreamRestarted.Info(s.log).Str("upstream", e.ID).Str("address", e.Address).Uint64("started_at", uint64(e.StartedAt)).Send()
 	return next
--- a/standin/dbgroup/log.go
+++ b/standin/dbgroup/log.go
@@ -28,7 +28,7 @@
 
 // append adds an entry written in term.
 func (l *entryLog) append(term logpos.Term, ops []op, at time.Time) entry {
-	if l.history.Last() != term {
+	if l.history.LastTerm() != term {
 		l.history = append(l.history.Clone(), logpos.Fork{Term: term, Start: logpos.Offset(len(l.entries))})
 	}
 	e := entry{
