--- a/core/group/action.go
+++ b/core/group/action.go
@@ -2,13 +2,13 @@
 
 import "github.com/dotterelswitch/dotterelswitch/core/logpos"
 
-// ActionKind says what the host must do for the controller.
+// ActionKind is the kind of an Action.
 type ActionKind uint8
 
-// The actions. Each is sent at most once per emission; the answer, if any,
-// comes back through the matching method of Controller.
+// The kinds of actions. The reply to Probe, Claim and Promote is passed to the
+// corresponding On method of Controller.
 const (
-	// Probe asks Member for its status.
+	// Probe requests the status of Member.
 	Probe ActionKind = iota
 	// Claim asks Member to grant Term to this host.
 	Claim
@@ -16,8 +16,8 @@
 	Promote
 	// Follow orders Member to replicate from Primary in Term.
 	Follow
-	// Record notes in the platform's service that Primary reigns in Term. It
-	// is for other hosts' information; nothing waits for it.
+	// Record publishes that Primary is the primary of Term. It informs other
+	// hosts; the controller does not wait for it.
 	Record
 )
 
@@ -36,7 +36,7 @@
 	}
 }
 
-// Action is one order to the host.
+// Action is something that the host must do for the controller.
 type Action struct {
 	Kind    ActionKind
 	Member  string
--- a/core/group/cluster_test.go
+++ b/core/group/cluster_test.go
@@ -11,7 +11,8 @@
 	"github.com/dotterelswitch/dotterelswitch/core/logpos"
 )
 
-// message is an order on its way to a member, or an answer on its way back.
+// message is an order to a member, a reply to a host, or a replica's
+// acknowledgement, in transit.
 type message struct {
 	host    int
 	action  group.Action
@@ -23,52 +24,54 @@
 	ack     logpos.Position
 }
 
-// acked is a write that some host acknowledged on the word of term's primary.
-type acked struct {
+// ackedWrite is a write that a host acknowledged, confirmed by the primary of
+// term.
+type ackedWrite struct {
 	position logpos.Position
 	term     logpos.Term
 	at       time.Duration
 }
 
-// pending is a write whose host waits for its confirmation.
-type pending struct {
+// pendingWrite is a write whose host waits for its confirmation.
+type pendingWrite struct {
 	host     int
 	position logpos.Position
 }
 
-// cluster is a group, the hosts that watch it, and a network that may reorder,
-// delay, duplicate and drop. Every choice follows from a seed that rapid draws.
+// cluster simulates a group, the hosts that monitor it, and a network that
+// reorders, delays, duplicates and drops messages. All choices follow from one
+// seed drawn by rapid.
 type cluster struct {
-	t        *rapid.T
-	rng      *rand.Rand
-	now      time.Duration
-	members  []*modelMember
-	hosts    []*group.Controller
-	network  []message
-	pending  []pending
-	acked    []acked
-	primary  map[logpos.Term]string
-	observed []logpos.Position
-	// cut holds the members and hosts on the far side of a partition.
+	t         *rapid.T
+	rng       *rand.Rand
+	now       time.Duration
+	members   []*modelMember
+	hosts     []*group.Controller
+	network   []message
+	pending   []pendingWrite
+	acked     []ackedWrite
+	primaryOf map[logpos.Term]string
+	observed  []logpos.Position
+	// cutMembers and cutHosts are on the far side of a network partition.
 	cutMembers map[string]bool
 	cutHosts   map[int]bool
 }
 
 var testTiming = group.Timing{
 	Heartbeat: 10, FastHeartbeat: 5, SuspectAfter: 30, RefusedAfter: 15,
-	HeardWithin: 10, Patience: 60, Stagger: 10, ReplyTimeout: 40,
+	ContactWindow: 10, MaxHoldOff: 60, Stagger: 10, ReplyTimeout: 40,
 }
 
 func newCluster(t *rapid.T) *cluster {
 	seed := rapid.Uint64().Draw(t, "seed")
-	c := &cluster{t: t, rng: rand.New(rand.NewPCG(seed, 0)), primary: map[logpos.Term]string{}}
+	c := &cluster{t: t, rng: rand.New(rand.NewPCG(seed, 0)), primaryOf: map[logpos.Term]string{}}
 	var names []string
 	for i := range rapid.SampledFrom([]int{3, 3, 5}).Draw(t, "members") {
-		m := &modelMember{name: fmt.Sprintf("m%d", i), up: true, claimant: -1}
+		m := &modelMember{name: fmt.Sprintf("m%d", i), up: true, grantedTo: -1}
 		m.claim(1, 100)
 		if i == 0 {
 			m.promote(1, 100)
-			c.primary[1] = m.name
+			c.primaryOf[1] = m.name
 		} else {
 			m.follow(1)
 		}
@@ -81,9 +84,9 @@
 	return c
 }
 
-// pick returns a number from low to high, all equally likely. Rapid's own
-// ranges favour small numbers, with which promotions never complete.
-func (c *cluster) pick(low, high int) int { return low + c.rng.IntN(high-low+1) }
+// randomInt returns a uniformly distributed number from low to high. Rapid's
+// own ranges favour small numbers, with which promotions never complete.
+func (c *cluster) randomInt(low, high int) int { return low + c.rng.IntN(high-low+1) }
 
 func (c *cluster) member(name string) *modelMember {
 	for _, m := range c.members {
@@ -94,11 +97,11 @@
 	return nil
 }
 
-func (c *cluster) drawMember() *modelMember {
-	return c.members[c.pick(0, len(c.members)-1)]
+func (c *cluster) randomMember() *modelMember {
+	return c.members[c.randomInt(0, len(c.members)-1)]
 }
 
-func (c *cluster) drawHost() int { return c.pick(0, len(c.hosts)-1) }
+func (c *cluster) randomHost() int { return c.randomInt(0, len(c.hosts)-1) }
 
 func (c *cluster) send(host int, actions []group.Action) {
 	for _, a := range actions {
@@ -109,49 +112,50 @@
 }
 
 func (c *cluster) tick() {
-	c.now += time.Duration(c.pick(0, 25))
-	h := c.drawHost()
+	c.now += time.Duration(c.randomInt(0, 25))
+	h := c.randomHost()
 	c.send(h, c.hosts[h].Tick(c.now))
 }
 
-// handover has a host replace a member that works.
+// handover has a host replace a healthy member.
 func (c *cluster) handover() {
-	h := c.drawHost()
-	c.send(h, c.hosts[h].Handover(c.now, []string{c.drawMember().name}))
+	h := c.randomHost()
+	c.send(h, c.hosts[h].Handover(c.now, []string{c.randomMember().name}))
 }
 
-// deliver takes any message from the network; it may stay to arrive again.
+// deliver delivers a random message, which may stay in the network as a
+// duplicate.
 func (c *cluster) deliver() {
 	if len(c.network) == 0 {
 		return
 	}
-	i := c.pick(0, min(len(c.network)-1, 12))
+	i := c.randomInt(0, min(len(c.network)-1, 12))
 	m := c.network[i]
 	if c.crosses(m) {
-		// It is lost, or arrives when the partition is over.
+		// The message is lost or delayed until after the partition.
 		c.network = append(c.network[:i:i], c.network[i+1:]...)
-		if c.pick(0, 1) == 0 {
+		if c.randomInt(0, 1) == 0 {
 			c.network = append(c.network, m)
 		}
 		return
 	}
-	if c.pick(0, 9) != 0 {
+	if c.randomInt(0, 9) != 0 {
 		c.network = append(c.network[:i:i], c.network[i+1:]...)
 	}
 	switch {
 	case m.replica != "":
 		p := c.member(m.action.Member)
-		if p.primary && p.claimed == m.action.Term {
+		if p.primary && p.grantedTerm == m.action.Term {
 			p.acks[m.replica] = m.ack
 		}
 	case m.reply:
 		c.answer(m)
 	default:
-		c.order(m)
+		c.execute(m)
 	}
 }
 
-// crosses reports whether a message has to pass the partition.
+// crosses reports whether a message has to cross the partition.
 func (c *cluster) crosses(m message) bool {
 	far := c.cutMembers[m.action.Member]
 	if m.replica != "" {
@@ -160,28 +164,29 @@
 	return far != c.cutHosts[m.host]
 }
 
-// partition cuts some members and hosts off, or ends a partition.
+// partition starts a partition of some members and hosts, or ends the current
+// one.
 func (c *cluster) partition() {
 	if len(c.cutMembers) > 0 {
 		c.cutMembers, c.cutHosts = nil, nil
 		return
 	}
 	c.cutMembers, c.cutHosts = map[string]bool{}, map[int]bool{}
-	for range c.pick(1, len(c.members)/2) {
-		c.cutMembers[c.drawMember().name] = true
+	for range c.randomInt(1, len(c.members)/2) {
+		c.cutMembers[c.randomMember().name] = true
 	}
-	c.cutHosts[c.drawHost()] = true
+	c.cutHosts[c.randomHost()] = true
 }
 
-// burst delivers many messages, so that delays stay short on the whole.
+// burst delivers many messages, so that most delays are short.
 func (c *cluster) burst() {
-	for range c.pick(0, 20) {
+	for range c.randomInt(0, 20) {
 		c.deliver()
 	}
 }
 
-// order has a member carry out an order and puts its answer on the network.
-func (c *cluster) order(m message) {
+// execute has a member execute an order and sends its reply.
+func (c *cluster) execute(m message) {
 	target := c.member(m.action.Member)
 	if !target.up {
 		if m.action.Kind == group.Probe {
@@ -202,18 +207,18 @@
 	c.network = append(c.network, m)
 }
 
-// promote checks the two promises about a new primary: there is one for each
-// term, and it holds every write acknowledged so far.
+// promote checks that a term has one primary, and that a new primary holds
+// every write acknowledged so far.
 func (c *cluster) promote(target *modelMember, m message) bool {
 	was := target.primary
 	done := target.promote(m.action.Term, m.host)
 	if !done || was {
 		return done
 	}
-	if other, taken := c.primary[m.action.Term]; taken && other != target.name {
+	if other, taken := c.primaryOf[m.action.Term]; taken && other != target.name {
 		c.t.Fatalf("term %d has two primaries, %s and %s", m.action.Term, other, target.name)
 	}
-	c.primary[m.action.Term] = target.name
+	c.primaryOf[m.action.Term] = target.name
 	for _, w := range c.acked {
 		if m.action.Term > w.term && !target.holds(w.position) {
 			c.t.Fatalf("acknowledged write %s is missing from %s, primary of term %d", w.position, target.name, m.action.Term)
@@ -234,34 +239,34 @@
 	}
 }
 
-// write has a host append an entry on a member that believes it is primary.
+// write has a host append an entry on a member that acts as primary.
 func (c *cluster) write() {
-	m := c.drawMember()
+	m := c.randomMember()
 	if m.up && m.primary {
-		c.pending = append(c.pending, pending{host: c.drawHost(), position: m.append(m.claimed)})
+		c.pending = append(c.pending, pendingWrite{host: c.randomHost(), position: m.append(m.grantedTerm)})
 	}
 }
 
-// replicate moves entries to a replica and its acknowledgement to the network.
+// replicate copies entries to a replica and sends its acknowledgement.
 func (c *cluster) replicate() {
-	m := c.drawMember()
-	p := c.member(c.primary[m.follows])
+	m := c.randomMember()
+	p := c.member(c.primaryOf[m.follows])
 	if p == nil || !p.up || !m.up || c.cutMembers[p.name] != c.cutMembers[m.name] {
 		return
 	}
-	m.replicate(p, c.pick(0, 3))
+	m.replicate(p, c.randomInt(0, 3))
 	c.network = append(c.network, message{
 		action: group.Action{Member: p.name, Term: m.follows}, replica: m.name, ack: m.last(),
 	})
 	c.observed = append(c.observed, m.last())
 }
 
-// crash stops a member or brings it back; it keeps its log and its terms.
+// crash stops a member or restarts it with its log and terms.
 func (c *cluster) crash() {
-	m := c.drawMember()
+	m := c.randomMember()
 	for _, other := range c.members {
 		if !other.up {
-			m = other // one at a time, so that there is a majority
+			m = other // only one is down at a time, so that a majority remains
 		}
 	}
 	m.up = !m.up
@@ -270,41 +275,41 @@
 	}
 }
 
-// drop loses a message.
+// drop removes a random message from the network.
 func (c *cluster) drop() {
 	if n := len(c.network); n > 0 {
-		i := c.pick(0, n-1)
+		i := c.randomInt(0, n-1)
 		c.network = append(c.network[:i:i], c.network[i+1:]...)
 	}
 }
 
-// acknowledge lets the hosts answer the writes that they believe are safe. A
-// primary of an older term than the one that confirmed a write may lack it: it
-// can confirm nothing any more.
+// acknowledge has the hosts acknowledge the writes that they take to be
+// committed. A primary of an older term than the confirming one may lack the
+// write, since it can no longer confirm anything.
 func (c *cluster) acknowledge() {
 	kept := c.pending[:0]
 	for _, p := range c.pending {
-		if c.hosts[p.host].View().Landing(p.position) != group.Confirmed {
+		if c.hosts[p.host].View().EntryState(p.position) != group.Committed {
 			kept = append(kept, p)
 			continue
 		}
 		by, _ := c.hosts[p.host].View().Primary()
-		for term, name := range c.primary {
-			if m := c.member(name); term >= by.Claimed && m.claimed == term && !m.holds(p.position) {
+		for term, name := range c.primaryOf {
+			if m := c.member(name); term >= by.GrantedTerm && m.grantedTerm == term && !m.holds(p.position) {
 				c.t.Fatalf("write %s is acknowledged, but %s, primary of term %d, lacks it", p.position, name, term)
 			}
 		}
-		c.acked = append(c.acked, acked{position: p.position, term: by.Claimed, at: c.now})
+		c.acked = append(c.acked, ackedWrite{position: p.position, term: by.GrantedTerm, at: c.now})
 	}
 	c.pending = kept
 }
 
-// checkFresh checks that a member which a host believes to be fresh as of some
+// checkFreshness checks that a member which a host takes to be fresh as of some
 // time holds every write acknowledged before that time.
-func (c *cluster) checkFresh() {
-	m := c.drawMember()
+func (c *cluster) checkFreshness() {
+	m := c.randomMember()
 	at := m.last()
-	fresh, known := c.hosts[c.drawHost()].View().FreshAt(at)
+	fresh, known := c.hosts[c.randomHost()].View().FreshAsOf(at)
 	if !known {
 		return
 	}
@@ -320,7 +325,7 @@
 func (c *cluster) checkTokens() {
 	var newest *modelMember
 	for _, m := range c.members {
-		if m.primary && (newest == nil || m.claimed > newest.claimed) {
+		if m.primary && (newest == nil || m.grantedTerm > newest.grantedTerm) {
 			newest = m
 		}
 	}
@@ -328,9 +333,9 @@
 		return
 	}
 	for _, p := range c.observed {
-		if p.Term < newest.claimed {
-			if seen, _ := newest.history.Clamp(p); int(seen) > len(newest.log) {
-				c.t.Fatalf("token %s waits for offset %d of %d", p, seen, len(newest.log))
+		if p.Term < newest.grantedTerm {
+			if required, _ := newest.history.Clamp(p); int(required) > len(newest.log) {
+				c.t.Fatalf("token %s waits for offset %d of %d", p, required, len(newest.log))
 			}
 		}
 	}
--- a/core/group/controller.go
+++ b/core/group/controller.go
@@ -7,24 +7,24 @@
 	"github.com/dotterelswitch/dotterelswitch/core/logpos"
 )
 
-// phase is the step of a promotion that a controller is in.
+// phase is the state of a controller's promotion procedure.
 type phase uint8
 
 const (
-	watching phase = iota
+	monitoring phase = iota
 	claiming
 	promoting
 )
 
-// Controller watches one group and replaces its primary when it fails. It
-// keeps these invariants:
+// Controller monitors one group and replaces its primary when it fails. Its
+// invariants:
 //
-//   - it claims a term only above every term it has seen granted;
-//   - it promotes at most one member in a term, and only after a majority has
+//   - it claims only terms above every term it has seen granted;
+//   - it promotes at most one member per term, and only after a majority has
 //     granted that term to it;
-//   - it promotes the member with the furthest log among the grants.
+//   - it promotes the member with the most advanced log among the grants.
 //
-// A term whose claim or promotion got no answer is never used again.
+// A term whose claim or promotion was not answered is never used again.
 type Controller struct {
 	view   *View
 	timing Timing
@@ -35,86 +35,90 @@
 	term     logpos.Term
 	grants   map[string]Status
 	deadline time.Duration
-	// probes holds when each member is probed next.
-	probes []time.Duration
-	// doubtSince is when the group was first seen without a working primary.
-	doubted    bool
-	doubtSince time.Duration
-	// quietUntil delays the next claim after one that failed.
-	quietUntil time.Duration
-	// seenTerm is the newest term that any member was seen to have granted.
-	seenTerm logpos.Term
-	// avoid names the members that a planned handover must not promote.
-	avoid      map[string]bool
-	hintUntil  time.Duration
-	promotions int
+	// nextProbes holds the time of the next probe of each member.
+	nextProbes []time.Duration
+	// suspectedSince is the time since which the group has had no healthy
+	// primary; valid if suspected is true.
+	suspected      bool
+	suspectedSince time.Duration
+	// backoffUntil is the earliest time of the next claim.
+	backoffUntil time.Duration
+	// highestSeenTerm is the newest term known to have been granted by any
+	// member.
+	highestSeenTerm logpos.Term
+	// excluded holds the members that a planned handover must not promote.
+	excluded        map[string]bool
+	fastProbesUntil time.Duration
+	promotions      int
 }
 
-// NewController returns a controller for the named members. Rank orders the
-// hosts that watch the group, from zero. Seed makes the jitter repeatable.
+// NewController returns a controller for the named members. Rank is this host's
+// position, from zero, among the hosts that monitor the group. Seed makes the
+// jitter reproducible.
 func NewController(members []string, rank int, timing Timing, seed uint64) *Controller {
 	return &Controller{
-		view:   NewView(members),
-		timing: timing,
-		rank:   rank,
-		rng:    rand.New(rand.NewPCG(seed, uint64(rank))),
-		probes: make([]time.Duration, len(members)),
+		view:       NewView(members),
+		timing:     timing,
+		rank:       rank,
+		rng:        rand.New(rand.NewPCG(seed, uint64(rank))),
+		nextProbes: make([]time.Duration, len(members)),
 	}
 }
 
-// View returns what the controller knows. The caller must not keep it across
-// calls from other goroutines.
+// View returns the controller's view of the group. It is not synchronized: the
+// caller must not use it concurrently with other methods.
 func (c *Controller) View() *View { return c.view }
 
-// SetRank changes the order among the hosts that watch the group.
+// SetRank changes the rank of this host among those that monitor the group.
 func (c *Controller) SetRank(rank int) { c.rank = rank }
 
-// SetTiming changes the delays from the next tick on.
+// SetTiming changes the timing from the next tick on.
 func (c *Controller) SetTiming(t Timing) { c.timing = t }
 
-// Promotions returns how many promotions this controller has completed.
+// Promotions returns the number of promotions that this controller has
+// completed.
 func (c *Controller) Promotions() int { return c.promotions }
 
-// Suspect asks for fast probes because a statement failed; it is a hint and
-// counts as no evidence.
+// Suspect speeds up probing because a statement failed. The failure itself does
+// not count as evidence against the primary.
 func (c *Controller) Suspect(now time.Duration) {
-	if c.hintUntil > now {
+	if c.fastProbesUntil > now {
 		return
 	}
-	c.hintUntil = now + c.timing.SuspectAfter
-	for i := range c.probes {
-		c.probes[i] = min(c.probes[i], now)
+	c.fastProbesUntil = now + c.timing.SuspectAfter
+	for i := range c.nextProbes {
+		c.nextProbes[i] = min(c.nextProbes[i], now)
 	}
 }
 
 // ProbeNow schedules an immediate probe of every member.
 func (c *Controller) ProbeNow(now time.Duration) {
-	for i := range c.probes {
-		c.probes[i] = min(c.probes[i], now)
+	for i := range c.nextProbes {
+		c.nextProbes[i] = min(c.nextProbes[i], now)
 	}
 }
 
-// Tick advances time and returns what is due.
+// Tick advances the time and returns the actions that are due.
 func (c *Controller) Tick(now time.Duration) []Action {
 	var out []Action
-	if c.phase != watching && now >= c.deadline {
-		c.abandon(now)
+	if c.phase != monitoring && now >= c.deadline {
+		c.abortPromotion(now)
 	}
-	if c.phase == watching && c.shouldClaim(now) {
+	if c.phase == monitoring && c.shouldClaim(now) {
 		out = c.startClaim(now, nil)
 	}
 	return append(out, c.dueProbes(now)...)
 }
 
-// NextTick returns how long a tick may be put off when nothing else happens.
-// Step is the granularity while a promotion is under way or the primary is in
-// doubt.
+// NextTick returns the time until the next tick is needed if no event arrives
+// before. Step is the tick interval during a promotion and while the primary is
+// suspected.
 func (c *Controller) NextTick(now, step time.Duration) time.Duration {
-	if c.phase != watching || c.doubted || now < c.hintUntil {
+	if c.phase != monitoring || c.suspected || now < c.fastProbesUntil {
 		return step
 	}
 	next := now + c.timing.Heartbeat
-	for _, due := range c.probes {
+	for _, due := range c.nextProbes {
 		next = min(next, due)
 	}
 	return max(next-now, step)
@@ -122,117 +126,121 @@
 
 func (c *Controller) dueProbes(now time.Duration) []Action {
 	interval := c.timing.Heartbeat
-	if c.doubted || now < c.hintUntil {
+	if c.suspected || now < c.fastProbesUntil {
 		interval = min(interval, c.timing.FastHeartbeat)
 	}
 	var out []Action
-	for i := range c.probes {
-		if now < c.probes[i] {
+	for i := range c.nextProbes {
+		if now < c.nextProbes[i] {
 			continue
 		}
-		c.probes[i] = now + interval
+		c.nextProbes[i] = now + interval
 		out = append(out, Action{Kind: Probe, Member: c.view.members[i].name})
 	}
 	return out
 }
 
-// OnStatus takes an answer to a probe sent at the given time.
+// OnStatus handles the answer to a probe sent at the given time.
 func (c *Controller) OnStatus(st Status, sent, now time.Duration) []Action {
 	c.view.Observe(st, sent)
-	c.updateDoubt(now)
-	c.yield(now)
-	return c.repair(st)
+	c.updateSuspicion(now)
+	c.backOffToNewerTerm(now)
+	return c.redirectToPrimary(st)
 }
 
-// yield puts this host's own claim off when another host has claimed a term: it
-// has until the end of the usual timeout to promote someone. Without this, a
-// host that learns late of a promotion in progress takes the term away from it.
-func (c *Controller) yield(now time.Duration) {
+// backOffToNewerTerm delays this host's own claim when another host has claimed
+// a newer term, so that a promotion in progress is not interrupted before its
+// timeout.
+func (c *Controller) backOffToNewerTerm(now time.Duration) {
 	high := c.view.HighestTerm()
-	if high <= c.seenTerm {
+	if high <= c.highestSeenTerm {
 		return
 	}
-	c.seenTerm = high
-	if c.phase == watching && c.doubted {
-		c.quietUntil = max(c.quietUntil, now+c.timing.ReplyTimeout)
+	c.highestSeenTerm = high
+	if c.phase == monitoring && c.suspected {
+		c.backoffUntil = max(c.backoffUntil, now+c.timing.ReplyTimeout)
 	}
 }
 
-// OnProbeFailed takes a probe that had no answer.
+// OnProbeFailed handles a probe that was not answered.
 func (c *Controller) OnProbeFailed(member string, sent, now time.Duration, refused bool) {
-	c.view.Fail(member, sent, refused)
-	c.updateDoubt(now)
+	c.view.ObserveFailure(member, sent, refused)
+	c.updateSuspicion(now)
 }
 
-// repair tells a member that follows no one, or an old primary, whom to follow.
-func (c *Controller) repair(st Status) []Action {
-	primary, found := c.view.Reigning()
+// redirectToPrimary orders a member that follows no primary, or an old one, to
+// follow the current primary.
+func (c *Controller) redirectToPrimary(st Status) []Action {
+	primary, found := c.view.CurrentPrimary()
 	if !found {
 		return nil
 	}
-	if st.Member == primary.Member || st.Follows == primary.Claimed {
+	if st.Member == primary.Member || st.Follows == primary.GrantedTerm {
 		return nil
 	}
-	return []Action{{Kind: Follow, Member: st.Member, Term: primary.Claimed, Primary: primary.Member}}
+	return []Action{{Kind: Follow, Member: st.Member, Term: primary.GrantedTerm, Primary: primary.Member}}
 }
 
-// updateDoubt notes since when the group has had no working primary.
-func (c *Controller) updateDoubt(now time.Duration) {
-	working := c.primaryWorks()
-	if working {
-		c.doubted = false
+// updateSuspicion tracks since when the group has had no healthy primary.
+func (c *Controller) updateSuspicion(now time.Duration) {
+	healthy := c.primaryHealthy()
+	if healthy {
+		c.suspected = false
 		return
 	}
-	if c.doubted {
+	if c.suspected {
 		return
 	}
-	c.doubted, c.doubtSince = true, now
+	c.suspected, c.suspectedSince = true, now
 	if primary, found := c.view.Primary(); found && c.view.Failing(primary.Member) {
-		c.doubtSince = min(now, c.view.member(primary.Member).failedSince)
+		c.suspectedSince = min(now, c.view.member(primary.Member).failedSince)
 	}
 }
 
-// primaryWorks reports whether the newest granted term has a primary that
+// primaryHealthy reports whether the newest granted term has a primary that
 // answers probes.
-func (c *Controller) primaryWorks() bool {
-	primary, found := c.view.Reigning()
+func (c *Controller) primaryHealthy() bool {
+	primary, found := c.view.CurrentPrimary()
 	if !found {
 		return false
 	}
 	return !c.view.Failing(primary.Member)
 }
 
-// shouldClaim reports whether the primary has failed for long enough.
+// shouldClaim reports whether the primary has been suspected for long enough,
+// and enough members answer, to claim a new term.
 func (c *Controller) shouldClaim(now time.Duration) bool {
-	if !c.doubted || now < c.quietUntil {
+	if !c.suspected || now < c.backoffUntil {
 		return false
 	}
-	inDoubt := now - c.doubtSince
-	turn := time.Duration(c.rank) * c.timing.Stagger
-	if inDoubt < c.failureDelay()+turn {
+	suspectedFor := now - c.suspectedSince
+	rankDelay := time.Duration(c.rank) * c.timing.Stagger
+	if suspectedFor < c.detectionDelay()+rankDelay {
 		return false
 	}
-	if !c.majorityAnswers() {
+	if !c.majorityReachable() {
 		return false
 	}
-	return inDoubt >= c.timing.Patience || !c.othersHear()
+	return suspectedFor >= c.timing.MaxHoldOff || !c.replicasHearPrimary()
 }
 
-// failureDelay returns how long the present kind of failure must last.
-func (c *Controller) failureDelay() time.Duration {
-	primary, found := c.view.Reigning()
+// detectionDelay returns how long the observed kind of failure must last before
+// a claim.
+func (c *Controller) detectionDelay() time.Duration {
+	primary, found := c.view.CurrentPrimary()
 	if !found {
 		return c.timing.SuspectAfter
 	}
-	const refusalsToBelieve = 2
-	if c.view.member(primary.Member).refusals >= refusalsToBelieve {
+	const minRefusals = 2
+	if c.view.member(primary.Member).refusals >= minRefusals {
 		return c.timing.RefusedAfter
 	}
 	return c.timing.SuspectAfter
 }
 
-// majorityAnswers reports whether enough members answer to grant a term.
-func (c *Controller) majorityAnswers() bool {
+// majorityReachable reports whether enough members answer probes to grant a
+// term.
+func (c *Controller) majorityReachable() bool {
 	answering := 0
 	for i := range c.view.members {
 		m := &c.view.members[i]
@@ -243,10 +251,10 @@
 	return answering >= c.view.Quorum()
 }
 
-// othersHear reports whether a replica of the newest term still has contact
-// with the primary that this host cannot reach.
-func (c *Controller) othersHear() bool {
-	primary, found := c.view.Reigning()
+// replicasHearPrimary reports whether a replica of the newest term is still in
+// contact with the primary that this host cannot reach.
+func (c *Controller) replicasHearPrimary() bool {
+	primary, found := c.view.CurrentPrimary()
 	if !found {
 		return false
 	}
@@ -255,7 +263,7 @@
 		if m.name == primary.Member || m.failing || !m.answered {
 			continue
 		}
-		if m.status.Follows == primary.Claimed && m.status.Heard < c.timing.HeardWithin {
+		if m.status.Follows == primary.GrantedTerm && m.status.SincePrimaryContact < c.timing.ContactWindow {
 			return true
 		}
 	}
--- a/core/group/entry_state.go
+++ b/core/group/entry_state.go
@@ -2,29 +2,30 @@
 
 import "github.com/dotterelswitch/dotterelswitch/core/logpos"
 
-// Landing is what is known of an entry's fate.
-type Landing uint8
+// EntryState is the replication state of a log entry.
+type EntryState uint8
 
-// The fates of an entry.
+// The states of a log entry.
 const (
-	// Pending means that it is not known yet.
-	Pending Landing = iota
-	// Confirmed means that a majority holds it in the newest term known, so
-	// that no change of primary can lose it.
-	Confirmed
-	// Abandoned means that a newer term's confirmed branch lacks it.
+	// Pending means that the outcome is not known yet.
+	Pending EntryState = iota
+	// Committed means that a majority holds the entry in the newest known term,
+	// so that no change of primary can lose it.
+	Committed
+	// Abandoned means that the committed branch of a newer term lacks the
+	// entry.
 	Abandoned
 )
 
-// Landing returns the fate of the entry at p. An entry of an older term is
-// judged by the newest primary's history, once an entry of that primary's own
-// term is confirmed.
-func (v *View) Landing(p logpos.Position) Landing {
+// EntryState returns the state of the entry at p. An entry of an older term is
+// judged by the history of the newest primary, once an entry of that primary's
+// own term is committed.
+func (v *View) EntryState(p logpos.Position) EntryState {
 	primary, found := v.Primary()
-	if !found || primary.Claimed < p.Term {
+	if !found || primary.GrantedTerm < p.Term {
 		return Pending
 	}
-	confirmed := v.Confirmed(primary.Claimed)
+	confirmed := v.CommittedOffset(primary.GrantedTerm)
 	if confirmed == 0 {
 		return Pending
 	}
@@ -32,7 +33,7 @@
 		return Abandoned
 	}
 	if p.Offset <= confirmed {
-		return Confirmed
+		return Committed
 	}
 	return Pending
 }
--- a/core/group/heartbeat_budget.go
+++ b/core/group/heartbeat_budget.go
@@ -2,31 +2,31 @@
 
 import "time"
 
-// Pace spaces heartbeats so that a host's probes stay within a budget of
-// bytes, however many members it watches. With few members failures are found
-// sooner; with many, statements that fail bring the probes forward (Suspect),
-// and an idle group waits for its next heartbeat.
-type Pace struct {
-	// ProbeBytes is what one probe and its answer cost, in bytes.
+// HeartbeatBudget limits the heartbeat traffic of a host: the interval grows
+// with the number of members it monitors. With many members an idle primary's
+// failure is detected later; a failed statement triggers faster probes (see
+// Controller.Suspect).
+type HeartbeatBudget struct {
+	// ProbeBytes is the size of a probe and its answer.
 	ProbeBytes int
-	// BudgetBytes is what all probes together may cost, in bytes per second.
-	BudgetBytes int
-	// Shortest and Longest bound the interval.
-	Shortest, Longest time.Duration
+	// BytesPerSecond is the budget of all probes together.
+	BytesPerSecond int
+	// MinInterval and MaxInterval bound the heartbeat interval.
+	MinInterval, MaxInterval time.Duration
 }
 
-// DefaultPace returns the pace for a control budget of 6 KB/s, of which three
-// fifths go to heartbeats. ProbeBytes was measured; see docs/CAPACITY.md.
-func DefaultPace() Pace {
-	return Pace{
-		ProbeBytes: 400, BudgetBytes: 3600,
-		Shortest: 100 * time.Millisecond, Longest: 5 * time.Second,
+// DefaultHeartbeatBudget returns three fifths of a control traffic budget of 6
+// KB/s. See docs/CAPACITY.md.
+func DefaultHeartbeatBudget() HeartbeatBudget {
+	return HeartbeatBudget{
+		ProbeBytes: 400, BytesPerSecond: 3600,
+		MinInterval: 100 * time.Millisecond, MaxInterval: 5 * time.Second,
 	}
 }
 
-// Heartbeat returns the interval between probes of one member when a host
-// watches the given number of members.
-func (p Pace) Heartbeat(members int) time.Duration {
-	interval := time.Duration(members*p.ProbeBytes) * time.Second / time.Duration(p.BudgetBytes)
-	return min(max(interval, p.Shortest), p.Longest)
+// Interval returns the time between probes of one member when a host monitors
+// the given number of members.
+func (b HeartbeatBudget) Interval(members int) time.Duration {
+	interval := time.Duration(members*b.ProbeBytes) * time.Second / time.Duration(b.BytesPerSecond)
+	return min(max(interval, b.MinInterval), b.MaxInterval)
 }
--- a/core/group/model_test.go
+++ b/core/group/model_test.go
@@ -8,17 +8,17 @@
 	"github.com/dotterelswitch/dotterelswitch/core/logpos"
 )
 
-// modelMember is a member with just the rules that the design assumes.
+// modelMember implements the rules that the design requires of a member.
 type modelMember struct {
-	name     string
-	claimed  logpos.Term
-	claimant int
-	primary  bool
-	follows  logpos.Term
-	log      []logpos.Term // the term of each entry; offsets are indices + 1
-	history  logpos.History
-	acks     map[string]logpos.Position
-	up       bool
+	name        string
+	grantedTerm logpos.Term
+	grantedTo   int
+	primary     bool
+	follows     logpos.Term
+	log         []logpos.Term // term of each entry; the entry at index i has offset i+1
+	history     logpos.History
+	acks        map[string]logpos.Position
+	up          bool
 }
 
 func (m *modelMember) last() logpos.Position {
@@ -30,8 +30,8 @@
 
 func (m *modelMember) status() group.Status {
 	st := group.Status{
-		Member: m.name, Claimed: m.claimed, Primary: m.primary, Follows: m.follows,
-		Last: m.last(), Applied: m.last(), History: m.history.Clone(), Heard: time.Hour,
+		Member: m.name, GrantedTerm: m.grantedTerm, Primary: m.primary, Follows: m.follows,
+		Last: m.last(), Applied: m.last(), History: m.history.Clone(), SincePrimaryContact: time.Hour,
 	}
 	if m.primary {
 		for name, p := range m.acks {
@@ -49,24 +49,24 @@
 	return m.last()
 }
 
-// holds reports whether the entry at p is in the member's log.
+// holds reports whether the log contains the entry at p.
 func (m *modelMember) holds(p logpos.Position) bool {
 	return int(p.Offset) <= len(m.log) && m.log[p.Offset-1] == p.Term
 }
 
 func (m *modelMember) claim(term logpos.Term, claimant int) bool {
-	if term == m.claimed && claimant == m.claimant {
+	if term == m.grantedTerm && claimant == m.grantedTo {
 		return true
 	}
-	if term <= m.claimed {
+	if term <= m.grantedTerm {
 		return false
 	}
-	m.claimed, m.claimant, m.primary, m.follows = term, claimant, false, 0
+	m.grantedTerm, m.grantedTo, m.primary, m.follows = term, claimant, false, 0
 	return true
 }
 
 func (m *modelMember) promote(term logpos.Term, claimant int) bool {
-	if term != m.claimed || claimant != m.claimant || m.follows != 0 {
+	if term != m.grantedTerm || claimant != m.grantedTo || m.follows != 0 {
 		return false
 	}
 	if !m.primary {
@@ -77,19 +77,19 @@
 }
 
 func (m *modelMember) follow(term logpos.Term) {
-	if term < m.claimed || (term == m.claimed && m.primary) {
+	if term < m.grantedTerm || (term == m.grantedTerm && m.primary) {
 		return
 	}
-	if term > m.claimed {
-		m.claimant = -1
+	if term > m.grantedTerm {
+		m.grantedTo = -1
 	}
-	m.claimed, m.primary, m.follows = term, false, term
+	m.grantedTerm, m.primary, m.follows = term, false, term
 }
 
-// replicate copies up to n entries from a primary that the member follows, and
-// drops what the primary does not have.
+// replicate copies up to n entries from the primary that the member follows,
+// and truncates entries that the primary does not have.
 func (m *modelMember) replicate(p *modelMember, n int) {
-	if !p.primary || m.follows != p.claimed || m.claimed != p.claimed {
+	if !p.primary || m.follows != p.grantedTerm || m.grantedTerm != p.grantedTerm {
 		return
 	}
 	common := min(len(m.log), len(p.log))
--- a/core/group/promotion.go
+++ b/core/group/promotion.go
@@ -6,30 +6,30 @@
 	"github.com/dotterelswitch/dotterelswitch/core/logpos"
 )
 
-// Handover replaces a primary that works but is among the members to avoid. It
-// does nothing when the primary is not, or a promotion is under way. The new
-// primary comes from a majority of the other members, which holds every
-// confirmed entry; what only the old one holds is abandoned, so writes on it
-// should have come to rest before.
-func (c *Controller) Handover(now time.Duration, avoid []string) []Action {
+// Handover replaces a healthy primary that is among the excluded members. It
+// does nothing if the primary is not excluded or a promotion is in progress.
+// The new primary is chosen by a majority of the other members, which holds
+// every committed entry. Entries that only the old primary holds are abandoned,
+// so writes to it should be stopped first.
+func (c *Controller) Handover(now time.Duration, exclude []string) []Action {
 	primary, found := c.view.Primary()
-	if !found || c.phase != watching || c.doubted || now < c.quietUntil {
+	if !found || c.phase != monitoring || c.suspected || now < c.backoffUntil {
 		return nil
 	}
-	set := make(map[string]bool, len(avoid))
-	for _, name := range avoid {
-		set[name] = true
+	excluded := make(map[string]bool, len(exclude))
+	for _, name := range exclude {
+		excluded[name] = true
 	}
-	if !set[primary.Member] {
+	if !excluded[primary.Member] {
 		return nil
 	}
-	return c.startClaim(now, set)
+	return c.startClaim(now, excluded)
 }
 
 // startClaim asks every member for the next term.
-func (c *Controller) startClaim(now time.Duration, avoid map[string]bool) []Action {
+func (c *Controller) startClaim(now time.Duration, excluded map[string]bool) []Action {
 	c.phase = claiming
-	c.avoid = avoid
+	c.excluded = excluded
 	c.term = max(c.view.HighestTerm(), c.term) + 1
 	c.grants = make(map[string]Status, len(c.view.members))
 	c.deadline = now + c.timing.ReplyTimeout
@@ -40,18 +40,18 @@
 	return out
 }
 
-// OnClaimReply takes a member's answer to a claim of term sent at the given
-// time. St is its status after the claim.
+// OnClaimReply handles a member's answer to a claim of term sent at the given
+// time. St is the member's status after the claim.
 func (c *Controller) OnClaimReply(term logpos.Term, granted bool, st Status, sent, now time.Duration) []Action {
 	c.view.Observe(st, sent)
 	if c.phase != claiming || term != c.term {
 		return nil
 	}
 	if !granted {
-		c.abandon(now)
+		c.abortPromotion(now)
 		return nil
 	}
-	if !c.avoid[st.Member] {
+	if !c.excluded[st.Member] {
 		c.grants[st.Member] = st
 	}
 	if len(c.grants) < c.view.Quorum() {
@@ -59,38 +59,39 @@
 	}
 	c.phase = promoting
 	c.deadline = now + c.timing.ReplyTimeout
-	return []Action{{Kind: Promote, Member: c.furthest(), Term: c.term}}
+	return []Action{{Kind: Promote, Member: c.mostAdvancedGrant(), Term: c.term}}
 }
 
-// furthest returns the grantor with the newest log. Order of configuration
-// breaks ties, so that hosts that see the same grants choose alike.
-func (c *Controller) furthest() string {
+// mostAdvancedGrant returns the granting member with the most advanced log.
+// Ties are broken by the configured order, so that hosts with the same grants
+// choose the same member.
+func (c *Controller) mostAdvancedGrant() string {
 	best := ""
-	var bestAt logpos.Position
+	var bestLast logpos.Position
 	for i := range c.view.members {
 		name := c.view.members[i].name
 		st, granted := c.grants[name]
-		if granted && (best == "" || bestAt.Less(st.Last)) {
-			best, bestAt = name, st.Last
+		if granted && (best == "" || bestLast.Less(st.Last)) {
+			best, bestLast = name, st.Last
 		}
 	}
 	return best
 }
 
-// OnPromoteReply takes the answer to a promotion. A refusal or a late answer
-// leaves the term unused for good.
+// OnPromoteReply handles the answer to a promotion. After a refusal or a late
+// answer the term is never used again.
 func (c *Controller) OnPromoteReply(term logpos.Term, done bool, st Status, sent, now time.Duration) []Action {
 	c.view.Observe(st, sent)
 	if c.phase != promoting || term != c.term {
 		return nil
 	}
 	if !done {
-		c.abandon(now)
+		c.abortPromotion(now)
 		return nil
 	}
-	c.phase = watching
+	c.phase = monitoring
 	c.promotions++
-	c.updateDoubt(now)
+	c.updateSuspicion(now)
 	out := []Action{{Kind: Record, Member: st.Member, Term: term, Primary: st.Member}}
 	for i := range c.view.members {
 		name := c.view.members[i].name
@@ -101,10 +102,10 @@
 	return out
 }
 
-// abandon gives the current term up and waits a random while, so that hosts
-// that claimed at the same time do not do so again.
-func (c *Controller) abandon(now time.Duration) {
-	c.phase = watching
+// abortPromotion ends the current promotion and backs off for a random time, so
+// that hosts that claimed at the same time do not collide again.
+func (c *Controller) abortPromotion(now time.Duration) {
+	c.phase = monitoring
 	wait := c.timing.FastHeartbeat + time.Duration(c.rng.Int64N(int64(c.timing.Stagger)+1))
-	c.quietUntil = now + wait
+	c.backoffUntil = now + wait
 }
--- a/core/group/promotion_test.go
+++ b/core/group/promotion_test.go
@@ -10,19 +10,20 @@
 	"github.com/dotterelswitch/dotterelswitch/core/logpos"
 )
 
-// failedPrimary returns a controller in whose view the primary of term 1
-// refuses connections and the two replicas answer, at the given time.
+// failedPrimary returns a controller for which the primary of term 1 refuses
+// connections and the two replicas answer, at the given time.
 func failedPrimary(now time.Duration) *group.Controller {
 	c := group.NewController([]string{"a", "b", "c"}, 0, testTiming, 1)
-	c.OnStatus(group.Status{Member: "a", Claimed: 1, Primary: true}, 0, 0)
-	c.OnStatus(group.Status{Member: "b", Claimed: 1, Follows: 1, Heard: time.Hour}, 0, 0)
-	c.OnStatus(group.Status{Member: "c", Claimed: 1, Follows: 1, Heard: time.Hour}, 0, 0)
+	c.OnStatus(group.Status{Member: "a", GrantedTerm: 1, Primary: true}, 0, 0)
+	c.OnStatus(group.Status{Member: "b", GrantedTerm: 1, Follows: 1, SincePrimaryContact: time.Hour}, 0, 0)
+	c.OnStatus(group.Status{Member: "c", GrantedTerm: 1, Follows: 1, SincePrimaryContact: time.Hour}, 0, 0)
 	c.OnProbeFailed("a", 1, 1, true)
 	c.OnProbeFailed("a", 2, now, true)
 	return c
 }
 
-// claimedTerm ticks from a time on until the controller claims a term, and returns it.
+// claimedTerm ticks the controller from the given time until it claims a term,
+// and returns the term.
 func claimedTerm(t *testing.T, c *group.Controller, now time.Duration) logpos.Term {
 	t.Helper()
 	for end := now + 100; now < end; now++ {
@@ -36,13 +37,13 @@
 	return 0
 }
 
-// granted is the answer of a member that granted a term.
+// granted returns the status of a member that has granted a term.
 func granted(member string, term logpos.Term) group.Status {
-	return group.Status{Member: member, Claimed: term}
+	return group.Status{Member: member, GrantedTerm: term}
 }
 
-// TestStaleGrantDoesNotCount answers the claim of one term with a grant of an
-// earlier one, which must not help to a majority.
+// TestStaleGrantDoesNotCount: a grant of an earlier term must not count towards
+// the majority of the current claim.
 func TestStaleGrantDoesNotCount(t *testing.T) {
 	c := failedPrimary(3)
 	first := claimedTerm(t, c, 50)
@@ -55,9 +56,9 @@
 	require.Equal(t, group.Promote, out[0].Kind)
 }
 
-// TestLostPromotionBurnsTheTerm checks that a term whose promotion got no
-// answer is not promoted again elsewhere.
-func TestLostPromotionBurnsTheTerm(t *testing.T) {
+// TestUnansweredPromotionDoesNotReuseTerm: a term whose promotion was not
+// answered must not be used to promote another member.
+func TestUnansweredPromotionDoesNotReuseTerm(t *testing.T) {
 	c := failedPrimary(3)
 	first := claimedTerm(t, c, 50)
 	c.OnClaimReply(first, true, granted("b", first), 51, 52)
@@ -65,57 +66,58 @@
 	require.Greater(t, claimedTerm(t, c, 300), first)
 }
 
-// TestReplicasThatHearThePrimaryHoldPromotionOff covers a host that alone is
-// cut off from a healthy primary.
-func TestReplicasThatHearThePrimaryHoldPromotionOff(t *testing.T) {
+// TestReplicasInContactWithPrimaryDelayPromotion covers a host that alone is
+// partitioned from a healthy primary.
+func TestReplicasInContactWithPrimaryDelayPromotion(t *testing.T) {
 	c := failedPrimary(3)
-	c.OnStatus(group.Status{Member: "b", Claimed: 1, Follows: 1, Heard: 1}, 40, 40)
+	c.OnStatus(group.Status{Member: "b", GrantedTerm: 1, Follows: 1, SincePrimaryContact: 1}, 40, 40)
 	for _, a := range c.Tick(50) {
 		require.Equal(t, group.Probe, a.Kind)
 	}
-	claimedTerm(t, c, 100) // patience is over
+	claimedTerm(t, c, 100) // after MaxHoldOff
 }
 
-// TestSlowAnswerClearsDoubt covers a member that answers late but answers.
-func TestSlowAnswerClearsDoubt(t *testing.T) {
+// TestLateAnswerClearsSuspicion covers a primary that answers a probe after the
+// probe was counted as failed.
+func TestLateAnswerClearsSuspicion(t *testing.T) {
 	c := group.NewController([]string{"a", "b", "c"}, 0, testTiming, 1)
 	for _, m := range []string{"a", "b", "c"} {
-		c.OnStatus(group.Status{Member: m, Claimed: 1, Primary: m == "a", Follows: 1, Heard: time.Hour}, 0, 0)
+		c.OnStatus(group.Status{Member: m, GrantedTerm: 1, Primary: m == "a", Follows: 1, SincePrimaryContact: time.Hour}, 0, 0)
 	}
 	c.OnProbeFailed("a", 10, 20, false)
-	c.OnStatus(group.Status{Member: "a", Claimed: 1, Primary: true}, 10, 35)
+	c.OnStatus(group.Status{Member: "a", GrantedTerm: 1, Primary: true}, 10, 35)
 	for _, a := range c.Tick(60) {
 		require.Equal(t, group.Probe, a.Kind)
 	}
 }
 
-// TestPaceKeepsTheBudget checks that heartbeats stay within the bytes allowed,
-// up to the longest interval.
-func TestPaceKeepsTheBudget(t *testing.T) {
-	p := group.DefaultPace()
+// TestHeartbeatsStayWithinBudget checks the bytes per second of heartbeats up
+// to the maximum interval.
+func TestHeartbeatsStayWithinBudget(t *testing.T) {
+	budget := group.DefaultHeartbeatBudget()
 	for _, members := range []int{1, 9, 30, 45} {
-		interval := p.Heartbeat(members)
-		require.GreaterOrEqual(t, interval, p.Shortest)
-		cost := float64(members*p.ProbeBytes) / interval.Seconds()
-		require.LessOrEqual(t, cost, float64(p.BudgetBytes)*1.01, "%d members", members)
+		interval := budget.Interval(members)
+		require.GreaterOrEqual(t, interval, budget.MinInterval)
+		cost := float64(members*budget.ProbeBytes) / interval.Seconds()
+		require.LessOrEqual(t, cost, float64(budget.BytesPerSecond)*1.01, "%d members", members)
 	}
-	require.Equal(t, p.Longest, p.Heartbeat(10_000))
+	require.Equal(t, budget.MaxInterval, budget.Interval(10_000))
 }
 
-// TestNextTickRestsOnlyWhenHealthy checks that a controller in doubt is not
-// put off.
-func TestNextTickRestsOnlyWhenHealthy(t *testing.T) {
+// TestNextTickIsDelayedOnlyWhenHealthy checks that ticks are not delayed while
+// the primary is suspected.
+func TestNextTickIsDelayedOnlyWhenHealthy(t *testing.T) {
 	c := group.NewController([]string{"a"}, 0, testTiming, 1)
-	c.OnStatus(group.Status{Member: "a", Claimed: 1, Primary: true}, 0, 0)
+	c.OnStatus(group.Status{Member: "a", GrantedTerm: 1, Primary: true}, 0, 0)
 	c.Tick(0)
 	require.Equal(t, testTiming.Heartbeat, c.NextTick(0, 1))
 	c.OnProbeFailed("a", 1, 1, true)
 	require.Equal(t, time.Duration(1), c.NextTick(1, 1))
 }
 
-// TestHostsYieldToAClaimInProgress checks that a host which sees a newer term
-// granted to another does not take it away at once, and does not wait for ever.
-func TestHostsYieldToAClaimInProgress(t *testing.T) {
+// TestHostsBackOffDuringAnotherClaim: a host that sees a newer term granted to
+// another host waits for the reply timeout before it claims a term itself.
+func TestHostsBackOffDuringAnotherClaim(t *testing.T) {
 	c := failedPrimary(3)
 	c.OnStatus(granted("b", 2), 20, 20)
 	for now := time.Duration(20); now < 20+testTiming.ReplyTimeout; now++ {
--- a/core/group/read.go
+++ b/core/group/read.go
@@ -6,99 +6,101 @@
 	"github.com/dotterelswitch/dotterelswitch/core/logpos"
 )
 
-// ReadNeed is what a read asks of the member that serves it.
-type ReadNeed struct {
-	// Token is the position that the session has seen, zero for none.
+// ReadRequirement is the consistency that a read requires of the member that
+// serves it.
+type ReadRequirement struct {
+	// Token is the position that the session has seen, or zero.
 	Token logpos.Position
-	// Staleness is the greatest age of the data. Zero means that the read
-	// needs every write acknowledged before Arrived.
+	// Staleness is the maximum age of the data. Zero requires every write
+	// acknowledged before ArrivedAt.
 	Staleness time.Duration
-	// Arrived is when the request came, on the view's clock.
-	Arrived time.Duration
+	// ArrivedAt is when the request arrived, on the view's clock.
+	ArrivedAt time.Duration
 }
 
-// ReadVerdict says whether a member may serve a read now.
+// ReadVerdict reports whether a member may serve a read now.
 type ReadVerdict uint8
 
 // The verdicts on a read.
 const (
-	// Eligible means that the read may run.
+	// Eligible means that the member may serve the read.
 	Eligible ReadVerdict = iota
 	// Behind means that the member has not reached the session's position.
 	Behind
-	// Stale means that the member cannot be shown to be within the bound.
+	// Stale means that the member cannot be shown to be within the staleness
+	// bound.
 	Stale
-	// Unplaced means that too little is known of the group.
-	Unplaced
-	// Ahead means that the session's position is beyond all that exists.
+	// Unknown means that too little is known of the group.
+	Unknown
+	// Ahead means that the session's position is past the end of the log.
 	Ahead
 )
 
-// CanRead judges a read on a replica or primary by what is known of its
-// applied log. Positions only grow, so a verdict of Eligible stays true until
-// the member changes branch; the caller checks the position of the answer.
-func (v *View) CanRead(member string, need ReadNeed) ReadVerdict {
+// CanRead judges a read on a member by its last known applied position.
+// Positions only increase, so Eligible stays valid until the member changes
+// branch; the caller checks the position of the answer.
+func (v *View) CanRead(member string, need ReadRequirement) ReadVerdict {
 	st, answered := v.Status(member)
 	if !answered {
-		return Unplaced
+		return Unknown
 	}
 	return v.CanServe(st.Applied, need)
 }
 
-// CanServe judges a read by the position that it would see, or saw.
-func (v *View) CanServe(applied logpos.Position, need ReadNeed) ReadVerdict {
+// CanServe judges a read by the position at which it runs or ran.
+func (v *View) CanServe(applied logpos.Position, need ReadRequirement) ReadVerdict {
 	primary, found := v.Primary()
 	if !found {
-		return Unplaced
+		return Unknown
 	}
-	if v.ahead(primary, need) {
+	if v.tokenBeyondLog(primary, need) {
 		return Ahead
 	}
 	if !primary.History.Contains(applied) {
 		return Behind
 	}
-	if need.Token.Term > primary.Claimed {
+	if need.Token.Term > primary.GrantedTerm {
 		return Behind
 	}
-	seen, _ := primary.History.Clamp(need.Token)
-	if applied.Offset < seen {
+	required, _ := primary.History.Clamp(need.Token)
+	if applied.Offset < required {
 		return Behind
 	}
-	fresh, known := v.FreshAt(applied)
-	if !known || fresh < need.Arrived-need.Staleness {
+	fresh, known := v.FreshAsOf(applied)
+	if !known || fresh < need.ArrivedAt-need.Staleness {
 		return Stale
 	}
 	return Eligible
 }
 
-// ahead reports whether the token is impossible: a majority has shown after
-// the read arrived that the term still stands, and the token is past it.
-func (v *View) ahead(primary Status, need ReadNeed) bool {
-	stood, found := v.StoodAt(primary.Claimed)
-	if !found || stood < need.Arrived || primary.Claimed < v.HighestTerm() {
+// tokenBeyondLog reports whether the token is past the end of the log of a term
+// that a majority still held after the read arrived, and so cannot be valid.
+func (v *View) tokenBeyondLog(primary Status, need ReadRequirement) bool {
+	stood, found := v.MajorityHeldAt(primary.GrantedTerm)
+	if !found || stood < need.ArrivedAt || primary.GrantedTerm < v.HighestTerm() {
 		return false
 	}
-	if m := v.member(primary.Member); m.sent < need.Arrived {
+	if m := v.member(primary.Member); m.sent < need.ArrivedAt {
 		return false
 	}
-	if need.Token.Term > primary.Claimed {
+	if need.Token.Term > primary.GrantedTerm {
 		return true
 	}
-	return need.Token.Term == primary.Claimed && need.Token.Offset > primary.Last.Offset
+	return need.Token.Term == primary.GrantedTerm && need.Token.Offset > primary.Last.Offset
 }
 
-// PrimaryAnswered judges a read that ran on a primary after it arrived, by the
-// position that it saw. The read is current if a majority still stood by the
-// term at a time that covers the bound, and it shows only confirmed entries.
-func (v *View) PrimaryAnswered(p logpos.Position, need ReadNeed) Landing {
-	if landing := v.Landing(p); landing != Confirmed {
+// CheckPrimaryRead judges a read that ran on a primary by the position it saw.
+// The read is valid (Committed) if it saw only committed entries and a majority
+// still held the primary's term at a time within the staleness bound.
+func (v *View) CheckPrimaryRead(p logpos.Position, need ReadRequirement) EntryState {
+	if landing := v.EntryState(p); landing != Committed {
 		return landing
 	}
-	stood, found := v.StoodAt(p.Term)
-	if found && stood >= need.Arrived-need.Staleness {
-		return Confirmed
+	stood, found := v.MajorityHeldAt(p.Term)
+	if found && stood >= need.ArrivedAt-need.Staleness {
+		return Committed
 	}
-	if primary, _ := v.Primary(); primary.Claimed > p.Term {
+	if primary, _ := v.Primary(); primary.GrantedTerm > p.Term {
 		return Abandoned
 	}
 	return Pending
--- a/core/group/samples.go
+++ b/core/group/samples.go
@@ -6,24 +6,23 @@
 	"github.com/dotterelswitch/dotterelswitch/core/logpos"
 )
 
-// maxSamples bounds the memory of a view. When it is reached every second
-// sample goes, which costs precision for the oldest positions only.
+// maxSamples bounds the memory of a view. When it is exceeded every second
+// sample is dropped, which reduces the precision for older positions.
 const maxSamples = 64
 
-// sample says that a primary's log ended at offset at every time between from
-// and to.
+// sample records that a primary's log ended at offset throughout [from, to].
 type sample struct {
 	from, to time.Duration
 	offset   logpos.Offset
 }
 
-// samples records how far the primary of one term was at which time.
+// samples is the history of log offsets of the primary of one term.
 type samples struct {
 	term logpos.Term
 	list []sample
 }
 
-// add records one sample. Samples of another term replace the list.
+// add records an offset. A new term discards the samples of the previous one.
 func (s *samples) add(term logpos.Term, at time.Duration, offset logpos.Offset) {
 	if term != s.term {
 		s.term, s.list = term, s.list[:0]
@@ -34,12 +33,12 @@
 	}
 	s.list = append(s.list, sample{from: at, to: at, offset: offset})
 	if len(s.list) > maxSamples {
-		s.thin()
+		s.decimate()
 	}
 }
 
-// thin drops every second sample but keeps the newest.
-func (s *samples) thin() {
+// decimate drops every second sample but keeps the newest.
+func (s *samples) decimate() {
 	kept := s.list[:0]
 	for i := range s.list {
 		if i%2 == len(s.list)%2 || i == len(s.list)-1 {
@@ -49,8 +48,8 @@
 	s.list = kept
 }
 
-// latest returns the newest time, no later than limit, at which the primary
-// of term was not past offset.
+// latest returns the newest time, not after limit, at which the log of the
+// primary of term was not past offset.
 func (s *samples) latest(term logpos.Term, offset logpos.Offset, limit time.Duration) (time.Duration, bool) {
 	if term != s.term {
 		return 0, false
--- a/core/group/view.go
+++ b/core/group/view.go
@@ -7,30 +7,29 @@
 	"github.com/dotterelswitch/dotterelswitch/core/logpos"
 )
 
-// View is what one host knows of a group from the members' own answers.
-// Times are durations since an origin that the caller chooses; they must come
-// from a monotonic clock of this host.
+// View is a host's knowledge of a group, from the answers of its members. Times
+// are relative to an origin that the caller chooses, on a monotonic clock of
+// this host.
 type View struct {
 	members []memberView
 	samples samples
 }
 
-// memberView is what is known of one member.
 type memberView struct {
 	name string
-	// status is the newest answer; valid once answered is true.
+	// status is the newest answer; valid if answered is true.
 	status   Status
 	answered bool
-	// sent is when the probe behind the newest answer was sent.
+	// sent is when the probe of the newest answer was sent.
 	sent time.Duration
-	// failedSince is when the oldest probe was sent that failed with no answer
-	// to a later one; refusals counts those refused since the last answer.
+	// failedSince is when the first of the current run of failed probes was
+	// sent; valid if failing is true. refusals counts the refused probes of
+	// that run.
 	failing     bool
 	failedSince time.Duration
 	refusals    int
 }
 
-// NewView returns a view of the named members.
 func NewView(members []string) *View {
 	v := &View{}
 	for _, name := range members {
@@ -42,7 +41,7 @@
 // Quorum returns the size of a majority of the members.
 func (v *View) Quorum() int { return len(v.members)/2 + 1 }
 
-// Members returns the names in the order given to NewView.
+// Members returns the names of the members in the order given to NewView.
 func (v *View) Members() []string {
 	names := make([]string, 0, len(v.members))
 	for i := range v.members {
@@ -60,14 +59,14 @@
 	return nil
 }
 
-// Observe records an answer to a probe that was sent at the given time.
-// Answers may come late, twice or out of order.
+// Observe records an answer to a probe that was sent at the given time. Answers
+// may arrive late, more than once and out of order.
 func (v *View) Observe(st Status, sent time.Duration) {
 	m := v.member(st.Member)
 	if m == nil {
 		return
 	}
-	if m.answered && (sent < m.sent || st.Claimed < m.status.Claimed) {
+	if m.answered && (sent < m.sent || st.GrantedTerm < m.status.GrantedTerm) {
 		return
 	}
 	m.status, m.answered, m.sent = st, true, sent
@@ -75,13 +74,13 @@
 		m.failing, m.refusals = false, 0
 	}
 	if primary, found := v.Primary(); found && primary.Member == st.Member {
-		v.samples.add(st.Claimed, sent, st.Last.Offset)
+		v.samples.add(st.GrantedTerm, sent, st.Last.Offset)
 	}
 }
 
-// Fail records that the probe sent at the given time had no answer. A refusal
-// is an answer by the member's machine that nothing listens.
-func (v *View) Fail(member string, sent time.Duration, refused bool) {
+// ObserveFailure records that the probe sent at the given time failed. Refused
+// means that the member's machine refused the connection.
+func (v *View) ObserveFailure(member string, sent time.Duration, refused bool) {
 	m := v.member(member)
 	if m == nil || (m.answered && sent < m.sent) {
 		return
@@ -103,7 +102,7 @@
 	return m.status, true
 }
 
-// Failing reports whether the newest probes of a member failed.
+// Failing reports whether the newest probe of a member failed.
 func (v *View) Failing(member string) bool {
 	m := v.member(member)
 	return m != nil && m.failing
@@ -113,43 +112,44 @@
 func (v *View) HighestTerm() logpos.Term {
 	var high logpos.Term
 	for i := range v.members {
-		high = max(high, v.members[i].status.Claimed)
+		high = max(high, v.members[i].status.GrantedTerm)
 	}
 	return high
 }
 
-// Primary returns the status of the member that acts as primary in the newest
-// term in which any does. The second result is false when none is known.
+// Primary returns the status of the primary of the newest term known to have
+// one. The second result is false if no primary is known.
 func (v *View) Primary() (Status, bool) {
 	var best Status
 	found := false
 	for i := range v.members {
 		st := v.members[i].status
-		if st.Primary && (!found || st.Claimed > best.Claimed) {
+		if st.Primary && (!found || st.GrantedTerm > best.GrantedTerm) {
 			best, found = st, true
 		}
 	}
 	return best, found
 }
 
-// Reigning returns the primary of the newest term that any member is known to
-// have granted. The second result is false while that term has none.
-func (v *View) Reigning() (Status, bool) {
+// CurrentPrimary returns the primary of the newest term that any member is
+// known to have granted. The second result is false if that term has no known
+// primary.
+func (v *View) CurrentPrimary() (Status, bool) {
 	st, found := v.Primary()
-	return st, found && st.Claimed == v.HighestTerm()
+	return st, found && st.GrantedTerm == v.HighestTerm()
 }
 
-// Confirmed returns the largest offset that a majority holds in the given
-// term. An entry of an older term counts only through an entry of this term
-// behind it, and a member that is known to have granted a newer term no longer
-// counts. A replica's position is taken from its own answers or from its
-// acknowledgements to the primary, whichever is further: either shows that the
-// replica held the entry before it granted any newer term.
-func (v *View) Confirmed(term logpos.Term) logpos.Offset {
+// CommittedOffset returns the largest offset that a majority holds in the given
+// term. Entries of older terms count only once a later entry of this term is
+// held, and a member that is known to have granted a newer term does not count.
+// A replica's position is the later of its own answer and its acknowledgement
+// to the primary: either shows that it held the entry before it granted a newer
+// term.
+func (v *View) CommittedOffset(term logpos.Term) logpos.Offset {
 	offsets := make([]logpos.Offset, 0, len(v.members))
 	acks := v.acks(term)
 	for i := range v.members {
-		if offset := v.held(&v.members[i], term, acks); offset > 0 {
+		if offset := v.heldOffset(&v.members[i], term, acks); offset > 0 {
 			offsets = append(offsets, offset)
 		}
 	}
@@ -160,22 +160,23 @@
 	return offsets[len(offsets)-v.Quorum()]
 }
 
-// acks returns what the primary of a term reports of its replicas.
+// acks returns the acknowledgements reported by the primary of a term.
 func (v *View) acks(term logpos.Term) []Ack {
 	primary, found := v.Primary()
-	if !found || primary.Claimed != term {
+	if !found || primary.GrantedTerm != term {
 		return nil
 	}
 	return primary.Acks
 }
 
-// held returns the newest offset that a member is known to hold in a term.
-func (v *View) held(m *memberView, term logpos.Term, acks []Ack) logpos.Offset {
-	if m.answered && m.status.Claimed > term {
+// heldOffset returns the largest offset that a member is known to hold in a
+// term.
+func (v *View) heldOffset(m *memberView, term logpos.Term, acks []Ack) logpos.Offset {
+	if m.answered && m.status.GrantedTerm > term {
 		return 0
 	}
 	var offset logpos.Offset
-	if m.answered && m.status.Claimed == term && m.status.Last.Term == term {
+	if m.answered && m.status.GrantedTerm == term && m.status.Last.Term == term {
 		offset = m.status.Last.Offset
 	}
 	for _, a := range acks {
@@ -186,15 +187,15 @@
 	return offset
 }
 
-// StoodAt returns the latest time at which the given term is known to have
-// been the newest that a majority had granted. No later term can have
+// MajorityHeldAt returns the latest time at which the given term is known to
+// have been the newest that a majority had granted. No later term can have
 // acknowledged a write before then, because it would have needed one of those
 // members.
-func (v *View) StoodAt(term logpos.Term) (time.Duration, bool) {
+func (v *View) MajorityHeldAt(term logpos.Term) (time.Duration, bool) {
 	times := make([]time.Duration, 0, len(v.members))
 	for i := range v.members {
 		m := &v.members[i]
-		if m.answered && m.status.Claimed == term {
+		if m.answered && m.status.GrantedTerm == term {
 			times = append(times, m.sent)
 		}
 	}
@@ -205,18 +206,19 @@
 	return times[len(times)-v.Quorum()], true
 }
 
-// FreshAt returns the latest time at which a log at p is known to have held
-// everything acknowledged. The second result is false when nothing is known,
-// or p lies on an abandoned branch. The bound holds under partitions: it needs
-// a majority that still stood by the primary's term.
-func (v *View) FreshAt(p logpos.Position) (time.Duration, bool) {
+// FreshAsOf returns the latest time at which a log that ends at p is known to
+// have held every acknowledged write. The second result is false if no such
+// time is known or p is on an abandoned branch. The bound holds under network
+// partitions, because it requires a majority that still held the primary's
+// term.
+func (v *View) FreshAsOf(p logpos.Position) (time.Duration, bool) {
 	primary, found := v.Primary()
 	if !found || !primary.History.Contains(p) {
 		return 0, false
 	}
-	stood, found := v.StoodAt(primary.Claimed)
+	stood, found := v.MajorityHeldAt(primary.GrantedTerm)
 	if !found {
 		return 0, false
 	}
-	return v.samples.latest(primary.Claimed, p.Offset, stood)
+	return v.samples.latest(primary.GrantedTerm, p.Offset, stood)
 }
--- a/node/host/host.go
+++ b/node/host/host.go
@@ -102,7 +102,7 @@
 	h.metrics = metrics.New(s.MaxTeamsShown)
 	h.owner = owner.New(owner.Config{
 		Host: self, User: s.UpstreamUser, Password: s.UpstreamPassword, Dial: opts.Dial,
-		ControlDial: upstream.DialFunc(h.bytes.control.Wrap(opts.Dial)), Pace: group.DefaultPace(),
+		ControlDial: upstream.DialFunc(h.bytes.control.Wrap(opts.Dial)), Pace: group.DefaultHeartbeatBudget(),
 		AnswerLimit: s.MaxAnswer, Timing: group.DefaultTiming(), DrainFor: s.DrainTimeout, Log: h.log,
 	})
 	h.router = router.New(self, owner.SenderName(self), h.fleet, h.owner, h.peers, h.log)
--- a/node/owner/continue.go
+++ b/node/owner/continue.go
@@ -63,7 +63,7 @@
 	if !req.MayCommit {
 		return resp
 	}
-	need := group.ReadNeed{Arrived: p.watcher.Now()}
+	need := group.ReadRequirement{ArrivedAt: p.watcher.Now()}
 	return o.settle(ctx, p, req, need, resp, answer)
 }
 
--- a/node/owner/execute.go
+++ b/node/owner/execute.go
@@ -42,7 +42,7 @@
 	if !p.begin() {
 		return request.Refused(outcome.Refuse(outcome.Draining, "the pool of %s is being handed over", req.Upstream))
 	}
-	need := group.ReadNeed{Token: req.Token, Staleness: req.Staleness, Arrived: p.watcher.Now()}
+	need := group.ReadRequirement{Token: req.Token, Staleness: req.Staleness, ArrivedAt: p.watcher.Now()}
 	if refusal := o.eligible(ctx, p, req, need); refusal != nil {
 		p.finish()
 		return request.Refused(refusal)
@@ -55,19 +55,19 @@
 }
 
 // eligible checks the member's role for a write, and its position for a read.
-func (o *Owner) eligible(ctx context.Context, p *pool, req *request.Request, need group.ReadNeed) *outcome.Refusal {
+func (o *Owner) eligible(ctx context.Context, p *pool, req *request.Request, need group.ReadRequirement) *outcome.Refusal {
 	if o.leaving(p.spec.Name) {
 		return outcome.Refuse(outcome.Draining, "upstream %s is leaving", p.spec.Name)
 	}
 	if req.Write {
 		return o.primaryNow(p)
 	}
-	verdict, primary := group.Unplaced, false
+	verdict, primary := group.Unknown, false
 	judge := func(v *group.View, _ time.Duration) bool {
 		verdict = v.CanRead(p.spec.Name, need)
 		st, found := v.Primary()
 		primary = found && st.Member == p.spec.Name && !v.Failing(st.Member)
-		return verdict == group.Eligible || verdict == group.Ahead || (primary && verdict != group.Unplaced)
+		return verdict == group.Eligible || verdict == group.Ahead || (primary && verdict != group.Unknown)
 	}
 	bounded, cancel := context.WithTimeout(ctx, req.Wait)
 	defer cancel()
@@ -100,7 +100,7 @@
 func (o *Owner) primaryNow(p *pool) *outcome.Refusal {
 	isPrimary := false
 	p.watcher.Inspect(func(v *group.View, _ time.Duration) {
-		st, found := v.Reigning()
+		st, found := v.CurrentPrimary()
 		isPrimary = found && st.Member == p.spec.Name && !v.Failing(st.Member)
 	})
 	if !isPrimary {
@@ -110,7 +110,7 @@
 }
 
 // runNew takes a slot and a connection for a request outside a transaction.
-func (o *Owner) runNew(ctx context.Context, p *pool, req *request.Request, need group.ReadNeed) *request.Response {
+func (o *Owner) runNew(ctx context.Context, p *pool, req *request.Request, need group.ReadRequirement) *request.Response {
 	arrived := time.Now()
 	if refusal := p.enter(ctx, req.Team, o.weight(req.Team), req.Deadline); refusal != nil {
 		return request.Refused(refusal)
@@ -173,7 +173,7 @@
 
 // settle holds an answer until it is safe to give: a write until a majority
 // holds it, a read on the primary until it is known to be current.
-func (o *Owner) settle(ctx context.Context, p *pool, req *request.Request, need group.ReadNeed, resp *request.Response, answer upstream.Answer) *request.Response {
+func (o *Owner) settle(ctx context.Context, p *pool, req *request.Request, need group.ReadRequirement, resp *request.Response, answer upstream.Answer) *request.Response {
 	if resp.Refusal != nil {
 		return resp
 	}
@@ -207,7 +207,7 @@
 			return
 		}
 		seen, _ := st.History.Clamp(token)
-		ahead = token.Term > st.Claimed || seen > current.Offset
+		ahead = token.Term > st.GrantedTerm || seen > current.Offset
 	})
 	return ahead
 }
@@ -232,10 +232,10 @@
 	defer p.unconfirmed.Add(-1)
 	landing := group.Pending
 	err := p.watcher.Await(ctx, watch.ForConfirmation, func(v *group.View, _ time.Duration) bool {
-		landing = v.Landing(answer.Position)
+		landing = v.EntryState(answer.Position)
 		return landing != group.Pending
 	})
-	if err != nil || landing != group.Confirmed {
+	if err != nil || landing != group.Committed {
 		p.watcher.Suspect()
 		return request.Refused(outcome.Refuse(outcome.UnknownOutcome, "no majority of the group confirmed the write at %s", answer.Position))
 	}
@@ -243,13 +243,13 @@
 }
 
 // confirmRead checks a read's answer against what the session needs.
-func (o *Owner) confirmRead(ctx context.Context, p *pool, need group.ReadNeed, resp *request.Response) *request.Response {
-	verdict, landing, onPrimary := group.Unplaced, group.Pending, false
+func (o *Owner) confirmRead(ctx context.Context, p *pool, need group.ReadRequirement, resp *request.Response) *request.Response {
+	verdict, landing, onPrimary := group.Unknown, group.Pending, false
 	judge := func(v *group.View, _ time.Duration) bool {
 		st, found := v.Primary()
 		onPrimary = found && st.Member == p.spec.Name
 		if onPrimary {
-			landing = v.PrimaryAnswered(resp.Position, need)
+			landing = v.CheckPrimaryRead(resp.Position, need)
 			return landing != group.Pending
 		}
 		verdict = v.CanServe(resp.Position, need)
@@ -258,7 +258,7 @@
 	if err := p.watcher.Await(ctx, watch.ForFreshness, judge); err != nil {
 		return request.Refused(outcome.Refuse(outcome.TooStale, "upstream %s could not show that it is current", p.spec.Name))
 	}
-	if onPrimary && landing != group.Confirmed {
+	if onPrimary && landing != group.Committed {
 		return request.Refused(outcome.Refuse(outcome.WrongMember, "upstream %s was superseded", p.spec.Name))
 	}
 	if !onPrimary && verdict != group.Eligible {
--- a/node/owner/leaving.go
+++ b/node/owner/leaving.go
@@ -53,7 +53,7 @@
 func (h *holding) isPrimary() bool {
 	primary := false
 	h.group.watcher.Inspect(func(v *group.View, _ time.Duration) {
-		st, found := v.Reigning()
+		st, found := v.CurrentPrimary()
 		primary = found && st.Member == h.spec.Name
 	})
 	return primary
--- a/node/owner/owner.go
+++ b/node/owner/owner.go
@@ -30,7 +30,7 @@
 	AnswerLimit int
 	Timing      group.Timing
 	// Pace spaces heartbeats by the number of members watched.
-	Pace group.Pace
+	Pace group.HeartbeatBudget
 	// Record is told of promotions.
 	Record func(service string, term logpos.Term, primary string)
 	// DrainFor bounds how long a pool that is handed over waits for what runs.
@@ -99,7 +99,7 @@
 		members += len(g.controls)
 	}
 	timing := o.cfg.Timing
-	timing.Heartbeat = o.cfg.Pace.Heartbeat(members)
+	timing.Heartbeat = o.cfg.Pace.Interval(members)
 	for _, g := range o.groups {
 		g.watcher.SetTiming(timing)
 	}
@@ -214,8 +214,8 @@
 		return hint
 	}
 	g.watcher.Inspect(func(v *group.View, now time.Duration) {
-		if st, found := v.Reigning(); found {
-			hint.Primary, hint.Term = st.Member, st.Claimed
+		if st, found := v.CurrentPrimary(); found {
+			hint.Primary, hint.Term = st.Member, st.GrantedTerm
 		}
 		for _, name := range v.Members() {
 			if st, answered := v.Status(name); answered {
--- a/node/upstream/control.go
+++ b/node/upstream/control.go
@@ -145,9 +145,9 @@
 	heard, err7 := strconv.ParseInt(string(row[8]), 10, 64)
 	change, err8 := strconv.ParseUint(string(row[9]), 10, 64)
 	st := group.Status{
-		Member: string(row[0]), Claimed: logpos.Term(claimed), Primary: string(row[2]) == "true",
+		Member: string(row[0]), GrantedTerm: logpos.Term(claimed), Primary: string(row[2]) == "true",
 		Follows: logpos.Term(follows), Last: last, Applied: applied, History: history,
-		Acks: acks, Change: change, Heard: time.Duration(heard) * time.Microsecond,
+		Acks: acks, Change: change, SincePrimaryContact: time.Duration(heard) * time.Microsecond,
 	}
 	return st, string(row[10]) == "true", errors.Join(err1, err2, err3, err4, err5, err6, err7, err8)
 }
--- a/node/watch/watcher.go
+++ b/node/watch/watcher.go
@@ -250,5 +250,5 @@
 	}
 	w.primary = st.Member
 	eventlog.PrimaryChanged.Info(w.cfg.Log).
-		Str("service", w.cfg.Service).Str("upstream", st.Member).Uint64("term", uint64(st.Claimed)).Send()
+		Str("service", w.cfg.Service).Str("upstream", st.Member).Uint64("term", uint64(st.GrantedTerm)).Send()
 }
--- a/standin/dbgroup/call.go
+++ b/standin/dbgroup/call.go
@@ -75,14 +75,14 @@
 		columns: statusColumns,
 		rows: [][]string{{
 			st.Member,
-			strconv.FormatUint(uint64(st.Claimed), 10),
+			strconv.FormatUint(uint64(st.GrantedTerm), 10),
 			strconv.FormatBool(st.Primary),
 			strconv.FormatUint(uint64(st.Follows), 10),
 			st.Last.String(),
 			st.Applied.String(),
 			st.History.String(),
 			ackText(st.Acks),
-			strconv.FormatInt(st.Heard.Microseconds(), 10),
+			strconv.FormatInt(st.SincePrimaryContact.Microseconds(), 10),
 			strconv.FormatUint(st.Change, 10),
 			strconv.FormatBool(done),
 		}},
@@ -107,7 +107,7 @@
 	return &result{
 		columns: describeColumns,
 		rows: [][]string{{
-			m.group.name, strconv.FormatUint(uint64(st.Claimed), 10), strconv.FormatBool(st.Primary),
+			m.group.name, strconv.FormatUint(uint64(st.GrantedTerm), 10), strconv.FormatBool(st.Primary),
 			strconv.FormatInt(m.replicaReads.Load(), 10), strconv.FormatInt(m.primaryReads.Load(), 10),
 		}},
 		tag: "SELECT 1",
--- a/standin/dbgroup/group.go
+++ b/standin/dbgroup/group.go
@@ -65,8 +65,8 @@
 	var bestTerm logpos.Term
 	for _, m := range g.members {
 		st := m.Status()
-		if st.Primary && !m.faults.down() && st.Claimed > bestTerm {
-			best, bestTerm = m, st.Claimed
+		if st.Primary && !m.faults.down() && st.GrantedTerm > bestTerm {
+			best, bestTerm = m, st.GrantedTerm
 		}
 	}
 	return best
--- a/standin/dbgroup/member.go
+++ b/standin/dbgroup/member.go
@@ -94,11 +94,11 @@
 // status needs mu held.
 func (m *Member) status() group.Status {
 	st := group.Status{
-		Member: m.cfg.Name, Claimed: m.claimed, Primary: m.primary, Follows: m.follows,
+		Member: m.cfg.Name, GrantedTerm: m.claimed, Primary: m.primary, Follows: m.follows,
 		Change: m.change, Last: m.log.last(), Applied: m.appliedPosition(), History: m.log.history.Clone(),
 	}
 	if !m.primary {
-		st.Heard = time.Since(m.heardAt)
+		st.SincePrimaryContact = time.Since(m.heardAt)
 		return st
 	}
 	for _, name := range slices.Sorted(maps.Keys(m.acks)) {
