--- a/core/group/entry_state.go
+++ b/core/group/entry_state.go
@@ -25,14 +25,14 @@
 	if !found || primary.GrantedTerm < p.Term {
 		return Pending
 	}
-	confirmed := v.CommittedOffset(primary.GrantedTerm)
-	if confirmed == 0 {
+	committed := v.CommittedOffset(primary.GrantedTerm)
+	if committed == 0 {
 		return Pending
 	}
 	if !primary.History.Contains(p) {
 		return Abandoned
 	}
-	if p.Offset <= confirmed {
+	if p.Offset <= committed {
 		return Committed
 	}
 	return Pending
--- a/core/succession/high_water_mark_test.go
+++ b/core/succession/high_water_mark_test.go
@@ -10,7 +10,7 @@
 	"github.com/dotterelswitch/dotterelswitch/core/succession"
 )
 
-func at(term, offset int) logpos.Position {
+func position(term, offset int) logpos.Position {
 	return logpos.Position{Term: logpos.Term(term), Offset: logpos.Offset(offset)}
 }
 
@@ -18,26 +18,26 @@
 // without its log, and reordered answers.
 func TestShorterLogOfSamePrimaryIsRegression(t *testing.T) {
 	var h succession.HighWaterMark
-	require.False(t, h.Regressed("a", 1, at(1, 0), time.Second), "no mark yet")
-	h.Observe("a", 3, at(3, 1207), 10*time.Second)
-	require.True(t, h.Regressed("a", 3, at(3, 2), 11*time.Second))
-	require.True(t, h.Regressed("a", 3, at(2, 900), 11*time.Second), "only entries of older terms are left")
-	require.False(t, h.Regressed("a", 3, at(3, 1200), 9*time.Second), "the answer is older than the mark")
-	require.False(t, h.Regressed("a", 3, at(3, 1207), 11*time.Second))
-	h.Observe("a", 3, at(3, 1000), 12*time.Second)
-	require.True(t, h.Regressed("a", 3, at(3, 1100), 13*time.Second), "a lower position does not lower the mark")
+	require.False(t, h.Regressed("a", 1, position(1, 0), time.Second), "no mark yet")
+	h.Observe("a", 3, position(3, 1207), 10*time.Second)
+	require.True(t, h.Regressed("a", 3, position(3, 2), 11*time.Second))
+	require.True(t, h.Regressed("a", 3, position(2, 900), 11*time.Second), "only entries of older terms are left")
+	require.False(t, h.Regressed("a", 3, position(3, 1200), 9*time.Second), "the answer is older than the mark")
+	require.False(t, h.Regressed("a", 3, position(3, 1207), 11*time.Second))
+	h.Observe("a", 3, position(3, 1000), 12*time.Second)
+	require.True(t, h.Regressed("a", 3, position(3, 1100), 13*time.Second), "a lower position does not lower the mark")
 }
 
 // TestPromotionMayTruncateLog: the new primary may have received less than the
 // old one, and its position is of the older term until it writes.
 func TestPromotionMayTruncateLog(t *testing.T) {
 	var h succession.HighWaterMark
-	h.Observe("a", 3, at(3, 1207), 10*time.Second)
-	require.False(t, h.Regressed("b", 3, at(3, 1200), 11*time.Second))
-	require.False(t, h.Regressed("b", 4, at(3, 1200), 11*time.Second))
-	h.Observe("b", 4, at(3, 1200), 11*time.Second)
-	require.False(t, h.Regressed("b", 4, at(4, 1201), 12*time.Second))
-	require.False(t, h.Regressed("a", 5, at(3, 1200), 12*time.Second), "a new term may start from a shorter log")
-	h.Observe("a", 3, at(3, 1300), 13*time.Second)
-	require.True(t, h.Regressed("b", 4, at(3, 1100), 14*time.Second), "a late observation of an older term is ignored")
+	h.Observe("a", 3, position(3, 1207), 10*time.Second)
+	require.False(t, h.Regressed("b", 3, position(3, 1200), 11*time.Second))
+	require.False(t, h.Regressed("b", 4, position(3, 1200), 11*time.Second))
+	h.Observe("b", 4, position(3, 1200), 11*time.Second)
+	require.False(t, h.Regressed("b", 4, position(4, 1201), 12*time.Second))
+	require.False(t, h.Regressed("a", 5, position(3, 1200), 12*time.Second), "a new term may start from a shorter log")
+	h.Observe("a", 3, position(3, 1300), 13*time.Second)
+	require.True(t, h.Regressed("b", 4, position(3, 1100), 14*time.Second), "a late observation of an older term is ignored")
 }
--- a/core/succession/opinion.go
+++ b/core/succession/opinion.go
@@ -40,12 +40,12 @@
 
 // Record stores an opinion on a primary that was requested at the given time.
 // It drops the opinions on any other primary.
-func (o *Opinions) Record(primary string, x Opinion, asked time.Duration) {
+func (o *Opinions) Record(primary string, opinion Opinion, asked time.Duration) {
 	if o.primary != primary {
 		o.primary, o.byHost = primary, map[string]timedOpinion{}
 	}
-	if old, found := o.byHost[x.Host]; !found || old.askedAt <= asked {
-		o.byHost[x.Host] = timedOpinion{Opinion: x, askedAt: asked}
+	if old, found := o.byHost[opinion.Host]; !found || old.askedAt <= asked {
+		o.byHost[opinion.Host] = timedOpinion{Opinion: opinion, askedAt: asked}
 	}
 }
 
--- a/core/succession/voter_set_test.go
+++ b/core/succession/voter_set_test.go
@@ -11,7 +11,7 @@
 	"github.com/dotterelswitch/dotterelswitch/core/succession"
 )
 
-func hostsNamed(count int) []gates.Host {
+func newHosts(count int) []gates.Host {
 	var out []gates.Host
 	for i := range count {
 		out = append(out, gates.Host{Name: fmt.Sprint("host-", i), Zone: "z"})
@@ -22,7 +22,7 @@
 // TestVoterSetFollowsRollingRestart restarts every host of a fleet in turn: the
 // incrementally maintained voters must equal those of a full computation.
 func TestVoterSetFollowsRollingRestart(t *testing.T) {
-	hosts := hostsNamed(40)
+	hosts := newHosts(40)
 	fleet := gates.NewFleet(nil, nil).Next(hosts)
 	incremental := succession.NewVoterSet("svc")
 	requireSameVoters := func() {
@@ -47,7 +47,7 @@
 func BenchmarkVoterSet(b *testing.B) {
 	for _, size := range []struct{ hosts, services int }{{30, 4}, {300, 20}, {5000, 1000}} {
 		b.Run(fmt.Sprintf("%d hosts, %d services", size.hosts, size.services), func(b *testing.B) {
-			hosts := hostsNamed(size.hosts)
+			hosts := newHosts(size.hosts)
 			fleet := gates.NewFleet(nil, nil).Next(hosts)
 			var sets []*succession.VoterSet
 			for s := range size.services {
