--- a/core/catalog/catalog.go
+++ b/core/catalog/catalog.go
@@ -1,20 +1,20 @@
-// Package catalog holds the operators' configuration of databases: which
-// service a database belongs to and what its callers are promised.
+// Package catalog holds the configuration of databases: the service that each
+// database belongs to, its consistency level and who may use it.
 package catalog
 
 import "time"
 
-// Consistency is what a database promises of its reads.
+// Consistency is the consistency level of a database's reads.
 type Consistency uint8
 
-// The promises, strictest first.
+// The consistency levels, strictest first.
 const (
 	// Primary reads see every acknowledged commit.
 	Primary Consistency = iota
-	// ReadYourWrites reads are as old as MaxStaleness allows, but see the
-	// session's own commits.
+	// ReadYourWrites reads may be up to MaxStaleness old, but see the session's
+	// own commits.
 	ReadYourWrites
-	// BoundedStaleness reads are as old as MaxStaleness allows.
+	// BoundedStaleness reads may be up to MaxStaleness old.
 	BoundedStaleness
 )
 
@@ -22,92 +22,93 @@
 
 func (c Consistency) String() string { return consistencyNames[c] }
 
-// Route is one database as callers know it.
+// Route maps a database name to a service and its request settings.
 type Route struct {
-	// Database is the name that a session starts with.
+	// Database is the database name that callers connect to.
 	Database string
-	// Name is the operators' name of the route, for logs.
+	// Name identifies the route in logs.
 	Name        string
 	Service     string
 	Consistency Consistency
-	// Timeout bounds one statement.
-	Timeout time.Duration
-	// Target is the latency that a whole operation aims at.
-	Target time.Duration
+	// StatementTimeout bounds one statement.
+	StatementTimeout time.Duration
+	// TargetLatency is the latency objective of a whole operation.
+	TargetLatency time.Duration
 	// Priority 0 is the highest.
 	Priority     int
 	MaxStaleness time.Duration
-	// Public admits callers without a known key.
+	// Public allows callers without a known key.
 	Public bool
 }
 
-// Service is one database group as the operators declare it.
+// Service is the configuration of one database group.
 type Service struct {
 	Name string
 	// MaxConnections bounds the connections to one member, over all hosts.
 	MaxConnections int
-	// SyncReplicas is how many replicas hold a commit before it is
-	// acknowledged.
+	// SyncReplicas is the number of replicas that must have a commit before it
+	// is acknowledged.
 	SyncReplicas int
 }
 
-// Spec is what one version of the configuration declares.
+// Spec is the decoded content of one configuration version.
 type Spec struct {
 	Version uint64
-	// TxIdle is how long a transaction may rest before it may be ended.
-	TxIdle   time.Duration
-	Routes   []Route
-	Services []Service
-	// Teams is nil where callers are not asked for a key.
+	// TxIdleTimeout is how long a transaction may be idle before it may be
+	// aborted.
+	TxIdleTimeout time.Duration
+	Routes        []Route
+	Services      []Service
+	// Teams is nil if callers need no key.
 	Teams *Teams
 }
 
-// Catalog is one version of the configuration. It is never changed.
+// Catalog is one version of the configuration. It is immutable.
 type Catalog struct {
 	Version uint64
-	// TxIdle is how long a transaction may rest before it may be ended.
-	TxIdle   time.Duration
-	Services map[string]Service
-	Teams    *Teams
-	routes   map[string]Route
+	// TxIdleTimeout is how long a transaction may be idle before it may be
+	// aborted.
+	TxIdleTimeout time.Duration
+	Services      map[string]Service
+	Teams         *Teams
+	routes        map[string]Route
 }
 
-// New returns a catalog. Of two routes for one database the first counts.
-func New(s Spec) *Catalog {
+// New returns a catalog. If two routes name the same database, the first one is
+// used.
+func New(spec Spec) *Catalog {
 	c := &Catalog{
-		Version: s.Version, TxIdle: s.TxIdle, Teams: s.Teams,
-		Services: make(map[string]Service, len(s.Services)), routes: make(map[string]Route, len(s.Routes)),
+		Version: spec.Version, TxIdleTimeout: spec.TxIdleTimeout, Teams: spec.Teams,
+		Services: make(map[string]Service, len(spec.Services)), routes: make(map[string]Route, len(spec.Routes)),
 	}
-	for _, r := range s.Routes {
+	for _, r := range spec.Routes {
 		if _, found := c.routes[r.Database]; !found {
 			c.routes[r.Database] = r
 		}
 	}
-	for _, service := range s.Services {
+	for _, service := range spec.Services {
 		c.Services[service.Name] = service
 	}
 	return c
 }
 
-// Admit returns the team in whose name a caller uses a route. It reports false
-// for a caller that may not use it. A caller without a known key has no team; a
-// public route admits it.
-func (c *Catalog) Admit(r Route, credential Credential) (Team, bool) {
+// Authorize returns the team of the caller and whether the caller may use the
+// route. A caller without a known key has no team and may use only public routes.
+func (c *Catalog) Authorize(r Route, credential Credential) (Team, bool) {
 	team, known := c.Teams.Identify(credential)
 	return team, known || r.Public
 }
 
-// Route returns the route of a database.
 func (c *Catalog) Route(database string) (Route, bool) {
 	r, found := c.routes[database]
 	return r, found
 }
 
-// Len returns the number of routes.
+// Len is the number of routes.
 func (c *Catalog) Len() int { return len(c.routes) }
 
-// Newer returns the catalog that is in force after next is seen: versions only
-// rise, whatever order sources deliver them in.
+// Newer returns the catalog with the higher version, so that catalogs delivered
+// out of order never replace a newer one. On equal versions it returns current.
 func Newer(current, next *Catalog) *Catalog {
 	if current != nil && next.Version <= current.Version {
 		return current
--- a/core/catalog/credential.go
+++ b/core/catalog/credential.go
@@ -6,29 +6,29 @@
 	"fmt"
 )
 
-// Credential stands for a caller's key. It is the key's digest: the key itself
-// is not kept, and a look-up among digests takes no longer the more of a wrong
-// key is right.
+// Credential is the SHA-256 digest of a caller's key. The key itself is not
+// stored, and the time of a look-up by digest does not reveal how much of a
+// guessed key is correct.
 type Credential [sha256.Size]byte
 
-// fingerprintBytes is how much of a digest tells one key from another in a log.
+// fingerprintBytes is the length of the digest prefix that identifies a key in
+// logs.
 const fingerprintBytes = 4
 
-// NewCredential returns the credential of a key.
 func NewCredential(key string) Credential { return sha256.Sum256([]byte(key)) }
 
-// String returns the whole digest, as declarations write it.
+// String returns the digest in hexadecimal, the form used in declarations.
 func (c Credential) String() string { return hex.EncodeToString(c[:]) }
 
-// CredentialError is a text that is no credential.
+// CredentialError reports a text that is not a hexadecimal SHA-256 digest.
 type CredentialError struct{ Length int }
 
 func (e *CredentialError) Error() string {
 	return fmt.Sprintf("a text of %d characters is no SHA-256 digest in hexadecimal", e.Length)
 }
 
-// ParseCredential reads a digest. An error is a *CredentialError; it does not show
-// the text, which may be the key itself.
+// ParseCredential parses a hexadecimal digest. The error is a *CredentialError,
+// which omits the text because it may be the key itself.
 func ParseCredential(text string) (Credential, error) {
 	digest, err := hex.DecodeString(text)
 	if err != nil || len(digest) != sha256.Size {
@@ -37,5 +37,5 @@
 	return Credential(digest), nil
 }
 
-// Fingerprint names the key for operators without giving it away.
+// Fingerprint identifies the key in logs and error messages without revealing it.
 func (c Credential) Fingerprint() string { return hex.EncodeToString(c[:fingerprintBytes]) }
--- a/core/catalog/team_test.go
+++ b/core/catalog/team_test.go
@@ -8,61 +8,62 @@
 	"github.com/dotterelswitch/dotterelswitch/core/catalog"
 )
 
-func teamKeys(name string, keys ...string) catalog.TeamKeys {
-	t := catalog.TeamKeys{Team: catalog.Team{Name: name}}
+func newTeam(name string, keys ...string) catalog.TeamCredentials {
+	t := catalog.TeamCredentials{Team: catalog.Team{Name: name}}
 	for _, k := range keys {
 		t.Credentials = append(t.Credentials, catalog.NewCredential(k))
 	}
 	return t
 }
 
-func withTeams(t *testing.T, teams ...catalog.TeamKeys) *catalog.Catalog {
+func newCatalog(t *testing.T, teams ...catalog.TeamCredentials) *catalog.Catalog {
 	t.Helper()
 	all, err := catalog.NewTeams(teams)
 	require.NoError(t, err)
 	return catalog.New(catalog.Spec{Version: 1, Teams: all})
 }
 
-func TestKeyNamesItsTeam(t *testing.T) {
-	c := withTeams(t, teamKeys("schools", "k1", "k2"), teamKeys("clubs", "k3"))
+func TestKeyIdentifiesTeam(t *testing.T) {
+	c := newCatalog(t, newTeam("schools", "k1", "k2"), newTeam("clubs", "k3"))
 	for key, want := range map[string]string{"k1": "schools", "k2": "schools", "k3": "clubs"} {
-		team, allowed := c.Admit(catalog.Route{}, catalog.NewCredential(key))
+		team, allowed := c.Authorize(catalog.Route{}, catalog.NewCredential(key))
 		require.True(t, allowed)
 		require.Equal(t, want, team.Name)
 	}
 }
 
-func TestUnknownKeyIsAdmittedOnPublicRoutesOnly(t *testing.T) {
-	c := withTeams(t, teamKeys("schools", "k1"))
-	_, allowed := c.Admit(catalog.Route{}, catalog.NewCredential("taken-away"))
+func TestUnknownKeyIsAuthorizedOnPublicRoutesOnly(t *testing.T) {
+	c := newCatalog(t, newTeam("schools", "k1"))
+	_, allowed := c.Authorize(catalog.Route{}, catalog.NewCredential("revoked-key"))
 	require.False(t, allowed)
-	team, allowed := c.Admit(catalog.Route{Public: true}, catalog.NewCredential("taken-away"))
+	team, allowed := c.Authorize(catalog.Route{Public: true}, catalog.NewCredential("revoked-key"))
 	require.True(t, allowed)
 	require.Empty(t, team.Name)
 }
 
-// TestNoTeamsAskNobodyForAKey: deployments without teams admit every caller.
-func TestNoTeamsAskNobodyForAKey(t *testing.T) {
+// Deployments that declare no teams must accept every caller.
+func TestNoKeyRequiredWithoutTeams(t *testing.T) {
 	c := catalog.New(catalog.Spec{Version: 1})
-	team, allowed := c.Admit(catalog.Route{}, catalog.NewCredential("anything"))
+	team, allowed := c.Authorize(catalog.Route{}, catalog.NewCredential("anything"))
 	require.True(t, allowed)
 	require.Empty(t, team.Name)
 }
 
-// TestEmptyTeamsAdmitNobody: a list that has become empty is not the same as none.
-func TestEmptyTeamsAdmitNobody(t *testing.T) {
-	_, allowed := withTeams(t).Admit(catalog.Route{}, catalog.NewCredential("k1"))
+// An empty list of teams must not be treated like a missing one, which requires
+// no key.
+func TestEmptyTeamListRejectsAllCallers(t *testing.T) {
+	_, allowed := newCatalog(t).Authorize(catalog.Route{}, catalog.NewCredential("k1"))
 	require.False(t, allowed)
 }
 
-func TestKeyOfTwoTeamsIsAnError(t *testing.T) {
-	_, err := catalog.NewTeams([]catalog.TeamKeys{teamKeys("a", "secret-key"), teamKeys("b", "secret-key")})
-	var shared *catalog.SharedKeyError
-	require.ErrorAs(t, err, &shared)
-	require.NotContains(t, err.Error(), "secret-key", "an error shows no key")
-	_, err = catalog.NewTeams([]catalog.TeamKeys{teamKeys("a"), teamKeys("a")})
-	var doubled *catalog.DoubledTeamError
-	require.ErrorAs(t, err, &doubled)
-	_, err = catalog.NewTeams([]catalog.TeamKeys{teamKeys("a", "k", "k")})
+func TestNewTeamsRejectsDuplicates(t *testing.T) {
+	_, err := catalog.NewTeams([]catalog.TeamCredentials{newTeam("a", "secret-key"), newTeam("b", "secret-key")})
+	var duplicateKey *catalog.DuplicateKeyError
+	require.ErrorAs(t, err, &duplicateKey)
+	require.NotContains(t, err.Error(), "secret-key", "the error must not contain the key")
+	_, err = catalog.NewTeams([]catalog.TeamCredentials{newTeam("a"), newTeam("a")})
+	var duplicateTeam *catalog.DuplicateTeamError
+	require.ErrorAs(t, err, &duplicateTeam)
+	_, err = catalog.NewTeams([]catalog.TeamCredentials{newTeam("a", "k", "k")})
 	require.NoError(t, err)
 }
--- a/node/edge/caller.go
+++ b/node/edge/caller.go
@@ -183,7 +183,7 @@
 		return false
 	}
 	credential := catalog.NewCredential(m.Key)
-	team, admitted := c.Admit(route, credential)
+	team, admitted := c.Authorize(route, credential)
 	if !admitted {
 		s.gateway.note(eventlog.CallerRejected, func(l *zerolog.Event) {
 			l.Str("database", m.Database).Str("key", credential.Fingerprint()).Uint64("version", c.Version).Str("reason", "unknown key")
--- a/node/edge/query.go
+++ b/node/edge/query.go
@@ -68,7 +68,7 @@
 // was open. A transaction that began in the name of another team is dropped, as
 // its connection belongs to that team.
 func (s *caller) admit(c *catalog.Catalog, route catalog.Route) bool {
-	team, admitted := c.Admit(route, s.credential)
+	team, admitted := c.Authorize(route, s.credential)
 	if s.tx != nil && team.Name != s.team.Name {
 		s.dropOwnTx()
 		s.state.Lose("the caller's team has changed")
@@ -153,14 +153,14 @@
 }
 
 func (s *caller) newWork(st statement.Statement, route catalog.Route, arrived time.Duration) replicaset.Work {
-	endBy := arrived + route.Timeout - timeoutMargin
+	endBy := arrived + route.StatementTimeout - timeoutMargin
 	startBy := endBy - runMargin
-	freshBy := arrived + time.Duration(connpool.FreshShare*float64(route.Target))
+	freshBy := arrived + time.Duration(connpool.FreshShare*float64(route.TargetLatency))
 	return replicaset.Work{
 		Statement: st, Values: s.state.Values(), Committed: s.state.Committed, Route: route, Team: s.team.Name,
 		ReadOnly: s.state.ReadOnly, Received: arrived,
-		AimBy: arrived + route.Target, FreshBy: min(freshBy, startBy), StartBy: startBy, EndBy: endBy,
-		AttemptTime: max(time.Duration(attemptShare*float64(route.Target)), minAttempt),
+		AimBy: arrived + route.TargetLatency, FreshBy: min(freshBy, startBy), StartBy: startBy, EndBy: endBy,
+		AttemptTime: max(time.Duration(attemptShare*float64(route.TargetLatency)), minAttempt),
 	}
 }
 
--- a/node/entry/entry.go
+++ b/node/entry/entry.go
@@ -325,13 +325,13 @@
 func (h *Host) endIdleTransactions(ctx context.Context) {
 	clock.Every(ctx, idleCheck, func() {
 		c := h.registry.Catalog()
-		if c == nil || c.TxIdle <= 0 {
+		if c == nil || c.TxIdleTimeout <= 0 {
 			return
 		}
 		now := clock.Now()
-		h.gateway.EndIdle(now - c.TxIdle)
+		h.gateway.EndIdle(now - c.TxIdleTimeout)
 		for _, s := range h.allSets() {
-			s.EndUnused(now - c.TxIdle - unusedSlack)
+			s.EndUnused(now - c.TxIdleTimeout - unusedSlack)
 		}
 	})
 }
--- a/node/entry/statements_test.go
+++ b/node/entry/statements_test.go
@@ -102,7 +102,7 @@
 	t.Helper()
 	require.Eventually(t, func() bool {
 		r, found := d.hosts[0].Catalog().Route("strict")
-		return found && r.Timeout == want
+		return found && r.StatementTimeout == want
 	}, eventually, poll)
 }
 
@@ -125,7 +125,7 @@
 func TestRestingTransactionEnds(t *testing.T) {
 	d := deploy(t, 1, options())
 	d.platform.Configure(routes(timeout), 200*time.Millisecond)
-	require.Eventually(t, func() bool { return d.hosts[0].Catalog().TxIdle == 200*time.Millisecond }, eventually, poll)
+	require.Eventually(t, func() bool { return d.hosts[0].Catalog().TxIdleTimeout == 200*time.Millisecond }, eventually, poll)
 	c := d.connect(0, "strict")
 	c.must("BEGIN")
 	w := c.must("STORE item x")
