--- a/core/conf/change.go
+++ b/core/conf/change.go
@@ -1,10 +1,9 @@
 package conf
 
 // Change is one accepted change of the configuration. It replaces or deletes
-// whole items by name, so that two changes of different items never conflict.
+// whole items by name, so that changes of different items never conflict.
 type Change struct {
-	// Version is the version that the change makes, one above the one it was
-	// made on.
+	// Version is the version that the change creates, one above its base version.
 	Version uint64 `json:"version"`
 	// ChangeID is unique to the change.
 	ChangeID string `json:"change_id"`
@@ -12,7 +11,7 @@
 	Delete   Names  `json:"delete"`
 }
 
-// Items are configuration items of every kind.
+// Items are configuration items, by kind.
 type Items struct {
 	Zones    []Zone    `json:"zones,omitempty"`
 	Services []Service `json:"services,omitempty"`
@@ -32,12 +31,12 @@
 	Drains   []Drain  `json:"drains,omitempty"`
 }
 
-// Apply returns the configuration after a change. The receiver is unchanged
-// and shares what the change leaves alone. A change that does not follow the
-// receiver's version is a *GapError.
+// Apply returns the configuration after a change. The receiver is not modified;
+// the result shares the unchanged lists with it. The error is a
+// *VersionGapError if the change does not follow the receiver's version.
 func (c *Config) Apply(ch Change) (*Config, error) {
 	if ch.Version != c.Version+1 {
-		return nil, &GapError{Have: c.Version, Change: ch.Version}
+		return nil, &VersionGapError{Current: c.Version, Change: ch.Version}
 	}
 	return &Config{
 		Version:  ch.Version,
@@ -66,32 +65,32 @@
 	return keys
 }
 
-// Overlaps reports whether two changes touch the same item.
+// Overlaps reports whether two changes put or delete the same item.
 func (ch Change) Overlaps(other Change) bool {
-	mine := ch.touched()
-	for key := range other.touched() {
-		if mine[key] {
+	keys := ch.itemKeys()
+	for key := range other.itemKeys() {
+		if keys[key] {
 			return true
 		}
 	}
 	return false
 }
 
-// itemKey names an item of any kind.
+// itemKey identifies an item across all kinds.
 type itemKey struct{ kind, name string }
 
-func (ch Change) touched() map[itemKey]bool {
+func (ch Change) itemKeys() map[itemKey]bool {
 	keys := make(map[itemKey]bool)
-	touch(keys, "zone", ch.Put.Zones, ch.Delete.Zones, zoneName)
-	touch(keys, "service", ch.Put.Services, ch.Delete.Services, serviceName)
-	touch(keys, "class", ch.Put.Classes, ch.Delete.Classes, className)
-	touch(keys, "team", ch.Put.Teams, ch.Delete.Teams, teamName)
-	touch(keys, "event", ch.Put.Events, ch.Delete.Events, eventName)
-	touch(keys, "drain", ch.Put.Drains, drainKeys(ch.Delete.Drains), drainKey)
+	addItemKeys(keys, "zone", ch.Put.Zones, ch.Delete.Zones, zoneName)
+	addItemKeys(keys, "service", ch.Put.Services, ch.Delete.Services, serviceName)
+	addItemKeys(keys, "class", ch.Put.Classes, ch.Delete.Classes, className)
+	addItemKeys(keys, "team", ch.Put.Teams, ch.Delete.Teams, teamName)
+	addItemKeys(keys, "event", ch.Put.Events, ch.Delete.Events, eventName)
+	addItemKeys(keys, "drain", ch.Put.Drains, drainKeys(ch.Delete.Drains), drainKey)
 	return keys
 }
 
-func touch[T any](keys map[itemKey]bool, kind string, put []T, deleted []string, name func(T) string) {
+func addItemKeys[T any](keys map[itemKey]bool, kind string, put []T, deleted []string, name func(T) string) {
 	for _, item := range put {
 		keys[itemKey{kind, name(item)}] = true
 	}
--- a/core/conf/conf_test.go
+++ b/core/conf/conf_test.go
@@ -16,8 +16,8 @@
 
 func TestMain(m *testing.M) { fixedseed.Main(m) }
 
-// drawChange puts some teams and deletes others.
-func drawChange(t *rapid.T, version uint64) conf.Change {
+// randomChange returns a change that puts some teams and deletes others.
+func randomChange(t *rapid.T, version uint64) conf.Change {
 	ch := conf.Change{Version: version, ChangeID: fmt.Sprint(version)}
 	for i := range 6 {
 		name := fmt.Sprintf("t%d", i)
@@ -32,16 +32,17 @@
 	return ch
 }
 
-// TestApplyAgainstAMap compares a series of changes with the same on a map.
-func TestApplyAgainstAMap(t *testing.T) {
+// TestApplyMatchesMapModel applies a series of changes and compares each result
+// with a map that is changed in the same way.
+func TestApplyMatchesMapModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		cfg, want := &conf.Config{}, map[string]float64{}
 		for v := range uint64(rapid.IntRange(1, 12).Draw(t, "changes")) {
-			ch := drawChange(t, v+1)
+			ch := randomChange(t, v+1)
 			before := slices.Clone(cfg.Teams)
 			next, err := cfg.Apply(ch)
 			require.NoError(t, err)
-			require.Equal(t, before, cfg.Teams, "the old version is untouched")
+			require.Equal(t, before, cfg.Teams, "Apply must not modify its receiver")
 			for _, n := range ch.Delete.Teams {
 				delete(want, n)
 			}
@@ -65,59 +66,59 @@
 	})
 }
 
-// TestTrackerNeverGoesBack offers changes and snapshots in any order, with
-// repeats and old ones.
-func TestTrackerNeverGoesBack(t *testing.T) {
+// TestTrackerVersionIsMonotonic offers changes and snapshots in random order, with
+// duplicates and outdated ones.
+func TestTrackerVersionIsMonotonic(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var changes []conf.Change
 		versions := []*conf.Config{{}}
 		for v := range uint64(20) {
-			ch := drawChange(t, v+1)
+			ch := randomChange(t, v+1)
 			next, err := versions[v].Apply(ch)
 			require.NoError(t, err)
 			changes, versions = append(changes, ch), append(versions, next)
 		}
-		tr := conf.NewTracker()
+		tracker := conf.NewTracker()
 		for range rapid.IntRange(1, 80).Draw(t, "offers") {
-			before := tr.Current().Version
+			before := tracker.Current().Version
 			i := rapid.IntRange(0, len(changes)-1).Draw(t, "which")
-			var moved bool
+			var advanced bool
 			var err error
 			if rapid.IntRange(0, 9).Draw(t, "kind") == 0 {
-				moved, err = tr.OfferSnapshot(versions[i])
+				advanced, err = tracker.OfferSnapshot(versions[i])
 			} else {
-				moved, err = tr.OfferChange(changes[i])
+				advanced, err = tracker.OfferChange(changes[i])
 			}
-			after := tr.Current().Version
-			require.Equal(t, moved, after > before)
+			after := tracker.Current().Version
+			require.Equal(t, advanced, after > before)
 			require.GreaterOrEqual(t, after, before)
-			var gap *conf.GapError
+			var gap *conf.VersionGapError
 			if err != nil {
 				require.ErrorAs(t, err, &gap)
 			}
-			require.Equal(t, versions[after].Teams, tr.Current().Teams)
-			if list, complete := tr.Since(before); complete {
+			require.Equal(t, versions[after].Teams, tracker.Current().Teams)
+			if list, complete := tracker.Since(before); complete {
 				require.Len(t, list, int(after-before))
 			}
 		}
 	})
 }
 
-func TestOverlap(t *testing.T) {
+func TestChangeOverlaps(t *testing.T) {
 	a := conf.Change{Put: conf.Items{Teams: []conf.Team{{Name: "x"}}}}
 	b := conf.Change{Delete: conf.Names{Teams: []string{"x"}}}
 	c := conf.Change{Put: conf.Items{Classes: []conf.Class{{Name: "x"}}}}
 	require.True(t, a.Overlaps(b))
-	require.False(t, a.Overlaps(c), "items of two kinds may share a name")
+	require.False(t, a.Overlaps(c), "items of different kinds may have the same name")
 }
 
-func TestValidateNamesEveryProblem(t *testing.T) {
+func TestValidateReportsEveryProblem(t *testing.T) {
 	cfg := &conf.Config{
-		Services: []conf.Service{{Name: "S", Upstreams: []conf.Upstream{{Name: "a", Zone: "nowhere", Address: "x", Slots: 0, Connections: -1}}}, {Name: "empty"}},
+		Services: []conf.Service{{Name: "S", Upstreams: []conf.Upstream{{Name: "a", Zone: "undeclared", Address: "x", Slots: 0, Connections: -1}}}, {Name: "empty"}},
 		Classes:  []conf.Class{{Name: "c", Staleness: -time.Second}, {Name: "c"}},
 		Teams:    []conf.Team{{Name: "t", Weight: -1, Connections: -1}},
-		Events:   []conf.Event{{Name: "e", Services: []string{"missing"}}},
-		Drains:   []conf.Drain{{Kind: "moon", Name: "a"}, {Kind: conf.DrainUpstream, Name: "nobody"}},
+		Events:   []conf.Event{{Name: "e", Services: []string{"undeclared"}}},
+		Drains:   []conf.Drain{{Kind: "unknown", Name: "a"}, {Kind: conf.DrainUpstream, Name: "undeclared"}},
 	}
 	var invalid *conf.InvalidError
 	require.ErrorAs(t, cfg.Validate(), &invalid)
@@ -138,25 +139,26 @@
 	}
 	got, _ := cfg.Staleness("c", "s", start.Add(-time.Nanosecond))
 	require.Equal(t, time.Second, got)
-	_, found := cfg.Staleness("nonesuch", "s", start)
+	_, found := cfg.Staleness("undeclared", "s", start)
 	require.False(t, found)
 }
 
-// TestKeysAreChecked: a key is a digest, and belongs to one team.
-func TestKeysAreChecked(t *testing.T) {
+// A declared credential must be a digest and belong to one team only, and the error
+// must not reveal a key that was declared in clear text.
+func TestValidateAndAuthorizeKeys(t *testing.T) {
 	digest := catalog.NewCredential("k").String()
-	good := &conf.Config{Teams: []conf.Team{{Name: "a", Credentials: []string{digest}}, {Name: "b"}}}
-	require.NoError(t, good.Validate())
-	require.True(t, good.AsksForKeys())
-	require.True(t, good.Admits("a", catalog.NewCredential("k")))
-	require.False(t, good.Admits("b", catalog.NewCredential("k")))
-	require.False(t, good.Admits("undeclared", catalog.NewCredential("k")))
-	require.True(t, (&conf.Config{Teams: []conf.Team{{Name: "a"}}}).Admits("anybody", catalog.Credential{}))
-	for _, bad := range []*conf.Config{
+	valid := &conf.Config{Teams: []conf.Team{{Name: "a", Credentials: []string{digest}}, {Name: "b"}}}
+	require.NoError(t, valid.Validate())
+	require.True(t, valid.RequiresKeys())
+	require.True(t, valid.Authorizes("a", catalog.NewCredential("k")))
+	require.False(t, valid.Authorizes("b", catalog.NewCredential("k")))
+	require.False(t, valid.Authorizes("undeclared", catalog.NewCredential("k")))
+	require.True(t, (&conf.Config{Teams: []conf.Team{{Name: "a"}}}).Authorizes("anybody", catalog.Credential{}))
+	for _, invalid := range []*conf.Config{
 		{Teams: []conf.Team{{Name: "a", Credentials: []string{"the key itself"}}}},
 		{Teams: []conf.Team{{Name: "a", Credentials: []string{digest}}, {Name: "b", Credentials: []string{digest}}}},
 	} {
-		err := bad.Validate()
+		err := invalid.Validate()
 		require.Error(t, err)
 		require.NotContains(t, err.Error(), "the key itself")
 	}
--- a/core/conf/config.go
+++ b/core/conf/config.go
@@ -1,17 +1,18 @@
-// Package conf holds the operators' configuration: services and their
+// Package conf holds the deployment's configuration: services and their
 // upstreams, teams, request classes, events and drains. Values are immutable
-// once published; every accepted change makes a new version.
+// once published; every accepted change creates a new version.
 package conf
 
 import "time"
 
-// Config is one version of the whole configuration. Each list is in order of
+// Config is one version of the whole configuration. Each list is sorted by
 // name.
 type Config struct {
-	// Version grows by one with each accepted change. Zero means none.
+	// Version increases by one with each accepted change. Zero means that no
+	// configuration exists yet.
 	Version uint64 `json:"version"`
-	// ChangeID names the change that made this version, so that an operator
-	// whose answer was lost can tell whether it took effect.
+	// ChangeID identifies the change that created this version, so that an
+	// operator who got no response can tell whether the change took effect.
 	ChangeID string    `json:"change_id"`
 	Zones    []Zone    `json:"zones"`
 	Services []Service `json:"services"`
@@ -39,51 +40,51 @@
 	Zone string `json:"zone"`
 	// Address is host:port of the PostgreSQL listener.
 	Address string `json:"address"`
-	// Slots is how many statements may execute at once.
+	// Slots is the maximum number of statements that execute concurrently.
 	Slots int `json:"slots"`
-	// Connections is how many connections the system may open.
+	// Connections is the maximum number of connections to the upstream, over
+	// all hosts.
 	Connections int `json:"connections"`
 }
 
-// Class is a kind of request with a staleness bound.
+// Class is a request class with a staleness bound.
 type Class struct {
 	Name string `json:"name"`
-	// Staleness is the greatest age of the data a read may return. Zero asks
-	// for the newest acknowledged state.
+	// Staleness is the maximum age of the data that a read may return. Zero
+	// requires reads to see every acknowledged commit.
 	Staleness time.Duration `json:"staleness"`
 }
 
-// Team is a caller's organisation, for fair sharing.
+// Team is an organisation of callers. Capacity is shared fairly among teams.
 type Team struct {
 	Name   string  `json:"name"`
 	Weight float64 `json:"weight"`
 	// Connections bounds the team's client connections on one host; zero
 	// means the host's default.
 	Connections int `json:"connections"`
-	// Credentials are the digests of the keys with which its callers prove
-	// themselves. Where no team has any, callers are not asked for a key.
+	// Credentials are the digests of the keys that authenticate the team's
+	// callers. If no team has credentials, callers need no key.
 	Credentials []string `json:"credentials,omitempty"`
 }
 
-// Event is a declared start of heavy traffic.
+// Event announces a period of heavy traffic that begins at Start.
 type Event struct {
 	Name     string    `json:"name"`
 	Start    time.Time `json:"start"`
 	Services []string  `json:"services"`
-	// Staleness overrides the bound of classes from Start on.
+	// Staleness overrides the staleness bounds of classes from Start on.
 	Staleness []Class `json:"staleness"`
 }
 
-// Drain asks that a host or an upstream gets no new work.
+// Drain requests that a host or an upstream gets no new work.
 type Drain struct {
 	Kind DrainKind `json:"kind"`
 	Name string    `json:"name"`
 }
 
-// DrainKind says what a Drain names.
+// DrainKind is the kind of object that a Drain names.
 type DrainKind string
 
-// The kinds of drain.
 const (
 	DrainHost     DrainKind = "host"
 	DrainUpstream DrainKind = "upstream"
--- a/core/conf/diff.go
+++ b/core/conf/diff.go
@@ -2,10 +2,9 @@
 
 import "reflect"
 
-// Effect is what a change does to one item.
+// Effect is the effect of a change on one item.
 type Effect uint8
 
-// The effects.
 const (
 	Unchanged Effect = iota
 	Added
@@ -24,10 +23,10 @@
 	Name   string `json:"name"`
 }
 
-// MarshalText writes the effect's name.
+// MarshalText encodes the effect by name.
 func (e Effect) MarshalText() ([]byte, error) { return []byte(e.String()), nil }
 
-// Diff returns what putting and deleting items does to the configuration.
+// Diff returns the effect of putting and deleting items, one entry per item.
 func (c *Config) Diff(put Items, del Names) []Difference {
 	var out []Difference
 	out = diff(out, "zone", c.Zones, put.Zones, del.Zones, zoneName)
@@ -38,10 +37,10 @@
 	return diff(out, "drain", c.Drains, put.Drains, drainKeys(del.Drains), drainKey)
 }
 
-func diff[T any](out []Difference, kind string, have, put []T, deleted []string, name func(T) string) []Difference {
+func diff[T any](out []Difference, kind string, current, put []T, deleted []string, name func(T) string) []Difference {
 	for _, item := range put {
 		effect := Added
-		if old, found := find(have, name(item), name); found {
+		if old, found := find(current, name(item), name); found {
 			effect = Replaced
 			if reflect.DeepEqual(old, item) {
 				effect = Unchanged
@@ -51,7 +50,7 @@
 	}
 	for _, n := range deleted {
 		effect := Unchanged
-		if _, found := find(have, n, name); found {
+		if _, found := find(current, n, name); found {
 			effect = Deleted
 		}
 		out = append(out, Difference{Effect: effect, Kind: kind, Name: n})
--- a/core/conf/errors.go
+++ b/core/conf/errors.go
@@ -5,7 +5,7 @@
 	"strings"
 )
 
-// InvalidError lists what is wrong with a configuration.
+// InvalidError lists the problems found in a configuration.
 type InvalidError struct {
 	Problems []string
 }
@@ -14,11 +14,12 @@
 	return "configuration is invalid: " + strings.Join(e.Problems, "; ")
 }
 
-// GapError reports a change that does not follow the version at hand.
-type GapError struct {
-	Have, Change uint64
+// VersionGapError reports a change whose version is not the successor of the
+// current one.
+type VersionGapError struct {
+	Current, Change uint64
 }
 
-func (e *GapError) Error() string {
-	return fmt.Sprintf("configuration change %d does not follow version %d", e.Change, e.Have)
+func (e *VersionGapError) Error() string {
+	return fmt.Sprintf("configuration change %d does not follow version %d", e.Change, e.Current)
 }
--- a/core/conf/lookup.go
+++ b/core/conf/lookup.go
@@ -7,12 +7,10 @@
 	"time"
 )
 
-// Service returns a service by name.
 func (c *Config) Service(name string) (Service, bool) {
 	return find(c.Services, name, serviceName)
 }
 
-// Upstream returns one upstream of the service by name.
 func (s Service) Upstream(name string) (Upstream, bool) {
 	i := slices.IndexFunc(s.Upstreams, func(u Upstream) bool { return u.Name == name })
 	if i < 0 {
@@ -21,7 +19,7 @@
 	return s.Upstreams[i], true
 }
 
-// UpstreamNames returns the names of the service's upstreams, in order.
+// UpstreamNames returns the names of the service's upstreams in declaration order.
 func (s Service) UpstreamNames() []string {
 	names := make([]string, 0, len(s.Upstreams))
 	for _, u := range s.Upstreams {
@@ -36,15 +34,15 @@
 	return z.Region
 }
 
-// Staleness returns the bound for a class on a service at a time: that of a
-// started event that names both, or the class's own. The second result is
-// false when the class is not declared.
+// Staleness returns the staleness bound of a class on a service at a time: the
+// override of a started event that names both, or else the class's own bound. The
+// second result is false if neither declares the class.
 func (c *Config) Staleness(class, service string, at time.Time) (time.Duration, bool) {
 	for _, e := range c.Events {
 		if at.Before(e.Start) || !slices.Contains(e.Services, service) {
 			continue
 		}
-		if bound, found := staleness(e.Staleness, class); found {
+		if bound, found := classStaleness(e.Staleness, class); found {
 			return bound, true
 		}
 	}
@@ -52,24 +50,23 @@
 	return cl.Staleness, found
 }
 
-// Team returns a team by name.
 func (c *Config) Team(name string) (Team, bool) { return find(c.Teams, name, teamName) }
 
-// AsksForKeys reports whether callers have to prove themselves.
-func (c *Config) AsksForKeys() bool {
+// RequiresKeys reports whether callers must authenticate with a key.
+func (c *Config) RequiresKeys() bool {
 	return slices.ContainsFunc(c.Teams, func(t Team) bool { return len(t.Credentials) > 0 })
 }
 
-// Admits reports whether a caller who holds a key may act for a team.
-func (c *Config) Admits(team string, credential catalog.Credential) bool {
-	if !c.AsksForKeys() {
+// Authorizes reports whether a caller with the given credential may act for a team.
+func (c *Config) Authorizes(team string, credential catalog.Credential) bool {
+	if !c.RequiresKeys() {
 		return true
 	}
 	t, found := c.Team(team)
 	return found && slices.Contains(t.Credentials, credential.String())
 }
 
-func staleness(classes []Class, name string) (time.Duration, bool) {
+func classStaleness(classes []Class, name string) (time.Duration, bool) {
 	i := slices.IndexFunc(classes, func(c Class) bool { return c.Name == name })
 	if i < 0 {
 		return 0, false
@@ -77,8 +74,8 @@
 	return classes[i].Staleness, true
 }
 
-// Weight returns the team's share; teams that are not declared have 1, so
-// that all are treated alike.
+// Weight returns the team's weight in fair sharing. Undeclared teams and teams
+// without a weight have 1.
 func (c *Config) Weight(team string) float64 {
 	t, found := find(c.Teams, team, teamName)
 	if !found || t.Weight == 0 {
--- a/core/conf/scale_test.go
+++ b/core/conf/scale_test.go
@@ -9,12 +9,12 @@
 	"github.com/dotterelswitch/dotterelswitch/core/conf"
 )
 
-// scaled returns a configuration of n services of three members.
-func scaled(n int) *conf.Config {
+// configWithServices returns a configuration with n services of three upstreams each.
+func configWithServices(n int) *conf.Config {
 	c := &conf.Config{Version: 1, Zones: []conf.Zone{{Name: "zone-01", Region: "region-1"}}}
 	var put []conf.Service
 	for i := range n {
-		put = append(put, scaledService(i, 4))
+		put = append(put, newService(i, 4))
 	}
 	next, err := c.Apply(conf.Change{Version: 2, Put: conf.Items{Services: put}})
 	if err != nil {
@@ -23,7 +23,7 @@
 	return next
 }
 
-func scaledService(i, slots int) conf.Service {
+func newService(i, slots int) conf.Service {
 	name := fmt.Sprintf("service-%05d", i)
 	s := conf.Service{Name: name}
 	for _, suffix := range []string{"a", "b", "c"} {
@@ -35,14 +35,14 @@
 	return s
 }
 
-var sizes = []int{1000, 9000, 27000}
+var serviceCounts = []int{1000, 9000, 27000}
 
-// BenchmarkApply measures one change of one service, with its check.
+// BenchmarkApply measures a change of one service, including its validation.
 func BenchmarkApply(b *testing.B) {
-	for _, n := range sizes {
+	for _, n := range serviceCounts {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			cfg := scaled(n)
-			ch := conf.Change{Version: 3, Put: conf.Items{Services: []conf.Service{scaledService(n/2, 5)}}}
+			cfg := configWithServices(n)
+			ch := conf.Change{Version: 3, Put: conf.Items{Services: []conf.Service{newService(n/2, 5)}}}
 			b.ReportAllocs()
 			for b.Loop() {
 				next, err := cfg.Apply(ch)
@@ -57,11 +57,12 @@
 	}
 }
 
-// BenchmarkLookup measures what a statement pays to find its service.
+// BenchmarkLookup measures the look-up of a service by name, which every
+// statement does.
 func BenchmarkLookup(b *testing.B) {
-	for _, n := range sizes {
+	for _, n := range serviceCounts {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			cfg := scaled(n)
+			cfg := configWithServices(n)
 			name := fmt.Sprintf("service-%05d", n/3)
 			for b.Loop() {
 				if _, found := cfg.Service(name); !found {
@@ -72,23 +73,23 @@
 	}
 }
 
-// BenchmarkMemory reports the heap that a configuration decoded from its
-// stored form takes, and the size of that form and of one change.
+// BenchmarkMemory reports the heap size of a configuration decoded from JSON, and
+// the encoded sizes of the configuration and of one change.
 func BenchmarkMemory(b *testing.B) {
-	for _, n := range sizes {
+	for _, n := range serviceCounts {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			data, err := json.Marshal(scaled(n))
+			data, err := json.Marshal(configWithServices(n))
 			if err != nil {
 				b.Fatal(err)
 			}
-			change, _ := json.Marshal(conf.Change{Version: 3, ChangeID: "0192f0c1-2345-7890-abcd-ef0123456789", Put: conf.Items{Services: []conf.Service{scaledService(1, 5)}}})
+			change, _ := json.Marshal(conf.Change{Version: 3, ChangeID: "0192f0c1-2345-7890-abcd-ef0123456789", Put: conf.Items{Services: []conf.Service{newService(1, 5)}}})
 			for b.Loop() {
-				before := heap()
+				before := heapBytes()
 				var cfg conf.Config
 				if err := json.Unmarshal(data, &cfg); err != nil {
 					b.Fatal(err)
 				}
-				used := float64(heap()) - float64(before)
+				used := float64(heapBytes()) - float64(before)
 				runtime.KeepAlive(&cfg)
 				runtime.KeepAlive(data)
 				b.ReportMetric(used/float64(n), "heap-B/service")
@@ -99,7 +100,7 @@
 	}
 }
 
-func heap() uint64 {
+func heapBytes() uint64 {
 	runtime.GC()
 	var m runtime.MemStats
 	runtime.ReadMemStats(&m)
--- a/core/conf/tracker.go
+++ b/core/conf/tracker.go
@@ -1,26 +1,27 @@
 package conf
 
-// maxRecent is how many changes a tracker keeps for peers that are behind. At
-// the planned 19,000 changes a day it covers about 19 minutes.
-const maxRecent = 256
+// maxRecentChanges bounds the changes kept for peers that are behind. A peer that
+// needs older ones has to fetch a snapshot.
+const maxRecentChanges = 256
 
-// Tracker holds the newest configuration of one host. It only ever moves to a
-// higher version, whatever order changes and snapshots arrive in. It is not
-// safe for concurrent use.
+// Tracker holds the newest configuration known to one host. Its version only
+// increases, in whatever order changes and snapshots arrive. It is not safe for
+// concurrent use.
 type Tracker struct {
-	current *Config
-	recent  []Change
+	current       *Config
+	recentChanges []Change
 }
 
 // NewTracker returns a tracker at version zero.
 func NewTracker() *Tracker { return &Tracker{current: &Config{}} }
 
-// Current returns the configuration in force. It is never changed in place.
+// Current returns the configuration in force, which is immutable.
 func (t *Tracker) Current() *Config { return t.current }
 
-// OfferChange applies a change that follows the current version. It reports
-// whether the version moved. An older change is ignored; one that leaves a gap
-// is a *GapError, and one with bad items is a *InvalidError.
+// OfferChange applies the change that follows the current version and reports
+// whether the version advanced. Changes that are already included are ignored. A
+// change that skips a version returns a *VersionGapError, one with invalid items an
+// *InvalidError.
 func (t *Tracker) OfferChange(ch Change) (bool, error) {
 	if ch.Version <= t.current.Version {
 		return false, nil
@@ -33,15 +34,15 @@
 		return false, err
 	}
 	t.current = next
-	t.recent = append(t.recent, ch)
-	if len(t.recent) > maxRecent {
-		t.recent = t.recent[len(t.recent)-maxRecent:]
+	t.recentChanges = append(t.recentChanges, ch)
+	if len(t.recentChanges) > maxRecentChanges {
+		t.recentChanges = t.recentChanges[len(t.recentChanges)-maxRecentChanges:]
 	}
 	return true, nil
 }
 
-// OfferSnapshot takes a whole configuration if it is newer. It reports whether
-// the version moved.
+// OfferSnapshot adopts a whole configuration if it is newer, and reports whether
+// the version advanced. An invalid configuration returns an *InvalidError.
 func (t *Tracker) OfferSnapshot(cfg *Config) (bool, error) {
 	if cfg.Version <= t.current.Version {
 		return false, nil
@@ -50,18 +51,18 @@
 		return false, err
 	}
 	t.current = cfg
-	t.recent = nil
+	t.recentChanges = nil
 	return true, nil
 }
 
-// Since returns the changes above a version, and false when the tracker does
-// not have them all any more.
+// Since returns the changes after a version, or false if some of them are no
+// longer kept.
 func (t *Tracker) Since(version uint64) ([]Change, bool) {
 	if version >= t.current.Version {
 		return nil, true
 	}
-	if len(t.recent) == 0 || t.recent[0].Version > version+1 {
+	if len(t.recentChanges) == 0 || t.recentChanges[0].Version > version+1 {
 		return nil, false
 	}
-	return t.recent[version+1-t.recent[0].Version:], true
+	return t.recentChanges[version+1-t.recentChanges[0].Version:], true
 }
--- a/node/gateway/startup.go
+++ b/node/gateway/startup.go
@@ -65,7 +65,7 @@
 		s.write(fatalMessage(refusal))
 		return false
 	}
-	if s.gateway.config().AsksForKeys() {
+	if s.gateway.config().RequiresKeys() {
 		s.awaitsKey = true
 		s.write(encode(nil, &pgproto3.AuthenticationCleartextPassword{}))
 		return true
@@ -91,7 +91,7 @@
 // authorized ends the session of a caller whose team does not hold its key, or does
 // not hold it any more.
 func (s *session) authorized() bool {
-	if s.gateway.config().Admits(s.team, s.credential) {
+	if s.gateway.config().Authorizes(s.team, s.credential) {
 		return true
 	}
 	refusal := outcome.Refuse(outcome.Unauthorized, "team %s, key %s", s.team, s.credential.Fingerprint())
