--- a/core/lang/compile.go
+++ b/core/lang/compile.go
@@ -7,22 +7,22 @@
 	"github.com/dotterelswitch/dotterelswitch/core/conf"
 )
 
-// Program is what a file of statements asks for.
+// Program is the compiled form of a file: the items to put and to delete.
 type Program struct {
 	Put    conf.Items
 	Delete conf.Names
 }
 
-// Compile reads statements. The error is a *SyntaxError with the place of the
-// first fault; whether the result makes sense as a whole, conf.Config.Validate
-// tells.
+// Compile parses statements. The error is a *SyntaxError with the position of the
+// first syntax error. Compile does not validate the items; use
+// conf.Config.Validate on the resulting configuration.
 func Compile(file, text string) (*Program, error) {
-	sc, err := parser.ParseString(file, text)
+	parsed, err := parser.ParseString(file, text)
 	if err != nil {
 		return nil, syntaxError(err, text)
 	}
 	p := &Program{}
-	for _, st := range sc.Statements {
+	for _, st := range parsed.Statements {
 		if err := p.add(st); err != nil {
 			return nil, err
 		}
@@ -30,20 +30,20 @@
 	return p, nil
 }
 
-// Append adds what another program asks for.
-func (p *Program) Append(q *Program) {
-	p.Put.Zones = append(p.Put.Zones, q.Put.Zones...)
-	p.Put.Services = append(p.Put.Services, q.Put.Services...)
-	p.Put.Classes = append(p.Put.Classes, q.Put.Classes...)
-	p.Put.Teams = append(p.Put.Teams, q.Put.Teams...)
-	p.Put.Events = append(p.Put.Events, q.Put.Events...)
-	p.Put.Drains = append(p.Put.Drains, q.Put.Drains...)
-	p.Delete.Zones = append(p.Delete.Zones, q.Delete.Zones...)
-	p.Delete.Services = append(p.Delete.Services, q.Delete.Services...)
-	p.Delete.Classes = append(p.Delete.Classes, q.Delete.Classes...)
-	p.Delete.Teams = append(p.Delete.Teams, q.Delete.Teams...)
-	p.Delete.Events = append(p.Delete.Events, q.Delete.Events...)
-	p.Delete.Drains = append(p.Delete.Drains, q.Delete.Drains...)
+// Append adds the items of another program.
+func (p *Program) Append(other *Program) {
+	p.Put.Zones = append(p.Put.Zones, other.Put.Zones...)
+	p.Put.Services = append(p.Put.Services, other.Put.Services...)
+	p.Put.Classes = append(p.Put.Classes, other.Put.Classes...)
+	p.Put.Teams = append(p.Put.Teams, other.Put.Teams...)
+	p.Put.Events = append(p.Put.Events, other.Put.Events...)
+	p.Put.Drains = append(p.Put.Drains, other.Put.Drains...)
+	p.Delete.Zones = append(p.Delete.Zones, other.Delete.Zones...)
+	p.Delete.Services = append(p.Delete.Services, other.Delete.Services...)
+	p.Delete.Classes = append(p.Delete.Classes, other.Delete.Classes...)
+	p.Delete.Teams = append(p.Delete.Teams, other.Delete.Teams...)
+	p.Delete.Events = append(p.Delete.Events, other.Delete.Events...)
+	p.Delete.Drains = append(p.Delete.Drains, other.Delete.Drains...)
 }
 
 func (p *Program) add(st *statement) error {
@@ -59,7 +59,7 @@
 		}
 		p.Put.Classes = append(p.Put.Classes, conf.Class{Name: st.Class.Name, Staleness: bound})
 	case st.Team != nil:
-		p.Put.Teams = append(p.Put.Teams, teamOf(st.Team))
+		p.Put.Teams = append(p.Put.Teams, compileTeam(st.Team))
 	case st.Event != nil:
 		e, err := st.Event.compile()
 		if err != nil {
@@ -87,7 +87,7 @@
 func (d *eventDecl) compile() (conf.Event, error) {
 	start, err := time.Parse(time.RFC3339, unquote(d.Start.Text))
 	if err != nil {
-		return conf.Event{}, at(d.Start.Pos, "%s is not a time such as '2026-12-02T08:00:00-05:00'", d.Start.Text)
+		return conf.Event{}, errorAt(d.Start.Pos, "%s is not a time such as '2026-12-02T08:00:00-05:00'", d.Start.Text)
 	}
 	e := conf.Event{Name: d.Name, Start: start.UTC(), Services: d.Services}
 	for _, s := range d.Staleness {
@@ -129,13 +129,12 @@
 func (l literal) duration() (time.Duration, error) {
 	d, err := time.ParseDuration(unquote(l.Text))
 	if err != nil {
-		return 0, at(l.Pos, "%s is not a duration such as '500ms' or '5s'", l.Text)
+		return 0, errorAt(l.Pos, "%s is not a duration such as '500ms' or '5s'", l.Text)
 	}
 	return d, nil
 }
 
-// teamOf returns the team of a declaration.
-func teamOf(d *teamDecl) conf.Team {
+func compileTeam(d *teamDecl) conf.Team {
 	t := conf.Team{Name: d.Name, Weight: d.Weight, Connections: d.Connections}
 	for _, text := range d.Credentials {
 		t.Credentials = append(t.Credentials, unquote(text))
--- a/core/lang/grammar.go
+++ b/core/lang/grammar.go
@@ -1,4 +1,4 @@
-// Package lang is the operators' declaration language: statements, each ended
+// Package lang compiles the configuration language: statements, each terminated
 // by a semicolon, that declare, drop, drain and undrain items of the
 // configuration. The grammar is in docs/LANGUAGE.md.
 package lang
@@ -51,7 +51,7 @@
 	Name        string  `parser:"'TEAM' @Name"`
 	Weight      float64 `parser:"( 'WEIGHT' @Number )?"`
 	Connections int     `parser:"( 'CONNECTIONS' @Number )?"`
-	// Credentials are digests of keys.
+	// Credentials are SHA-256 digests of keys.
 	Credentials []string `parser:"( 'CREDENTIAL' @String )*"`
 }
 
@@ -67,7 +67,7 @@
 	Bound literal `parser:"@@"`
 }
 
-// literal is a quoted text and its place.
+// literal is a quoted string and its position.
 type literal struct {
 	Pos  lexer.Position
 	Text string `parser:"@String"`
@@ -84,7 +84,7 @@
 	Name string `parser:"@Name"`
 }
 
-var tokens = lexer.MustSimple([]lexer.SimpleRule{
+var lexerRules = lexer.MustSimple([]lexer.SimpleRule{
 	{Name: "comment", Pattern: `--[^\n]*`},
 	{Name: "whitespace", Pattern: `\s+`},
 	{Name: "String", Pattern: `'[^'\n]*'`},
@@ -94,7 +94,7 @@
 })
 
 var parser = participle.MustBuild[script](
-	participle.Lexer(tokens),
+	participle.Lexer(lexerRules),
 	participle.CaseInsensitive("Name"),
 	participle.UseLookahead(2),
 )
--- a/core/lang/lang_test.go
+++ b/core/lang/lang_test.go
@@ -10,7 +10,7 @@
 	"github.com/dotterelswitch/dotterelswitch/core/lang"
 )
 
-const whole = `
+const sampleProgram = `
 -- the archive
 ZONE regina-hall REGION sask;
 SERVICE vsarchive-1
@@ -26,7 +26,7 @@
 `
 
 func TestCompile(t *testing.T) {
-	p, err := lang.Compile("archive.dsw", whole)
+	p, err := lang.Compile("archive.dsw", sampleProgram)
 	require.NoError(t, err)
 	cfg, err := (&conf.Config{}).Apply(conf.Change{Version: 1, Put: p.Put, Delete: p.Delete})
 	require.NoError(t, err)
@@ -43,7 +43,7 @@
 	require.Equal(t, 10*time.Second, bound)
 }
 
-func TestErrorsSayWhere(t *testing.T) {
+func TestSyntaxErrorsReportPosition(t *testing.T) {
 	for text, want := range map[string]string{
 		"ZONE a REGION b":                                  "f:1:16: ",
 		"\n  ZONE a REGOIN b;":                             `f:2:10: unexpected token "REGOIN" (expected "REGION" <name>); did you mean REGION?`,
@@ -62,10 +62,10 @@
 	}
 }
 
-// FuzzCompile checks that no text makes the compiler fail other than by a
+// FuzzCompile checks that Compile does not panic and that its error is always a
 // *SyntaxError.
 func FuzzCompile(f *testing.F) {
-	f.Add(whole)
+	f.Add(sampleProgram)
 	f.Add("DRAIN")
 	f.Add("EVENT a START '' SERVICES b STALENESS c ''")
 	f.Fuzz(func(t *testing.T, text string) {
@@ -78,8 +78,7 @@
 	})
 }
 
-// TestTeamHoldsKeys: a declaration carries digests of keys, one or more.
-func TestTeamHoldsKeys(t *testing.T) {
+func TestCompileTeamCredentials(t *testing.T) {
 	p, err := lang.Compile("f", "TEAM schools WEIGHT 2 CREDENTIAL 'aa' CREDENTIAL 'bb'; TEAM clubs CREDENTIAL 'cc';")
 	require.NoError(t, err)
 	require.Equal(t, []string{"aa", "bb"}, p.Put.Teams[0].Credentials)
--- a/core/lang/syntax_error.go
+++ b/core/lang/syntax_error.go
@@ -9,7 +9,7 @@
 	"github.com/alecthomas/participle/v2/lexer"
 )
 
-// SyntaxError reports a fault in the text of a program.
+// SyntaxError reports a syntax error and its position.
 type SyntaxError struct {
 	File         string
 	Line, Column int
@@ -24,29 +24,31 @@
 	return fmt.Sprintf("%s:%d:%d: %s", file, e.Line, e.Column, e.Message)
 }
 
-func at(pos lexer.Position, format string, args ...any) *SyntaxError {
+func errorAt(pos lexer.Position, format string, args ...any) *SyntaxError {
 	return &SyntaxError{File: pos.Filename, Line: pos.Line, Column: pos.Column, Message: fmt.Sprintf(format, args...)}
 }
 
-// keywords are the words that a near miss is compared with.
+// keywords are the candidates for corrections of misspelt words.
 var keywords = []string{
 	"ZONE", "REGION", "SERVICE", "UPSTREAM", "ADDRESS", "SLOTS", "CONNECTIONS", "CLASS", "STALENESS",
 	"TEAM", "WEIGHT", "EVENT", "START", "SERVICES", "DROP", "DRAIN", "UNDRAIN", "HOST",
 }
 
-// syntaxError turns the parser's error into one with a near name.
+// syntaxError converts the parser's error and suggests a keyword if the unexpected
+// token looks like a misspelt one.
 func syntaxError(err error, text string) error {
-	var pe participle.Error
-	if !errors.As(err, &pe) {
+	var parseErr participle.Error
+	if !errors.As(err, &parseErr) {
 		return &SyntaxError{Message: err.Error()}
 	}
-	message := pe.Message()
-	if near := nearest(wordAt(text, pe.Position().Offset)); near != "" {
-		message += fmt.Sprintf("; did you mean %s?", near)
+	message := parseErr.Message()
+	if suggestion := closestKeyword(wordAt(text, parseErr.Position().Offset)); suggestion != "" {
+		message += fmt.Sprintf("; did you mean %s?", suggestion)
 	}
-	return at(pe.Position(), "%s", message)
+	return errorAt(parseErr.Position(), "%s", message)
 }
 
+// wordAt returns the letters that begin at offset, in upper case.
 func wordAt(text string, offset int) string {
 	if offset < 0 || offset > len(text) {
 		return ""
@@ -59,14 +61,16 @@
 	return strings.ToUpper(rest)
 }
 
-// maxTypos is how many letters a near name may differ in.
-const maxTypos = 2
+// maxEditDistance is the largest edit distance between a misspelt word and the
+// suggested keyword.
+const maxEditDistance = 2
 
-// nearest returns the keyword that is almost the word, or "".
-func nearest(word string) string {
-	best, bestDistance := "", maxTypos+1
+// closestKeyword returns the keyword with the smallest edit distance to word, or ""
+// if none is close enough. Short keywords allow fewer edits.
+func closestKeyword(word string) string {
+	best, bestDistance := "", maxEditDistance+1
 	for _, k := range keywords {
-		if d := distance(word, k); d > 0 && d < bestDistance && d < len(k)/2+1 {
+		if d := editDistance(word, k); d > 0 && d < bestDistance && d < len(k)/2+1 {
 			best, bestDistance = k, d
 		}
 	}
@@ -76,8 +80,8 @@
 	return best
 }
 
-// distance is the Levenshtein distance.
-func distance(a, b string) int {
+// editDistance returns the Levenshtein distance of two strings.
+func editDistance(a, b string) int {
 	row := make([]int, len(b)+1)
 	for j := range row {
 		row[j] = j
