--- a/core/route/table.go
+++ b/core/route/table.go
@@ -1,6 +1,6 @@
-// Package route chooses the member that an entry host sends a request to. It
-// works on hints and measured latencies only: the host that owns the member
-// checks every promise again, so a wrong choice costs time and nothing else.
+// Package route chooses the member that an entry host sends a request to, from
+// primary hints and measured latencies. The host that owns the member enforces
+// consistency, so a wrong choice only adds latency.
 package route
 
 import (
@@ -12,77 +12,79 @@
 	"github.com/dotterelswitch/dotterelswitch/core/logpos"
 )
 
-// Distance is how far a member is from this host.
+// Distance is the network distance of a member from this host.
 type Distance uint8
 
-// The distances.
 const (
 	SameZone Distance = iota
 	SameRegion
 	OtherRegion
 )
 
-// baseCost is the expected latency of a member that was not measured yet.
-var baseCost = [...]time.Duration{
+// defaultLatency is the expected latency of a member without a recent measurement.
+var defaultLatency = [...]time.Duration{
 	SameZone:    2 * time.Millisecond,
 	SameRegion:  5 * time.Millisecond,
 	OtherRegion: 50 * time.Millisecond,
 }
 
 const (
-	// smoothing is the weight of a new latency in the moving mean.
-	smoothing = 0.2
-	// recall is the time constant with which an old measurement loses weight,
-	// so that a member that was slow is tried again.
-	recall = time.Second
-	// minWait and maxWait bound the wait for a replica to catch up.
-	minWait = time.Millisecond
-	maxWait = 100 * time.Millisecond
-	// primaryPenalty is the latency that a read may take longer on a replica to
-	// spare the primary.
-	primaryPenalty = 100 * time.Millisecond
-	// avoidFor and avoidMax bound how long a member that failed is avoided.
-	avoidFor = 50 * time.Millisecond
-	avoidMax = 2 * time.Second
+	// latencySmoothing is the weight of a new sample in the exponential moving
+	// average.
+	latencySmoothing = 0.2
+	// latencyDecay is the time constant with which a measurement loses weight, so
+	// that a member that was slow is tried again.
+	latencyDecay = time.Second
+	// minCatchUpWait and maxCatchUpWait bound the wait for a replica to catch up.
+	minCatchUpWait = time.Millisecond
+	maxCatchUpWait = 100 * time.Millisecond
+	// primaryReadPenalty is the additional latency accepted for a read on a replica
+	// in order to keep load off the primary.
+	primaryReadPenalty = 100 * time.Millisecond
+	// initialAvoidance and maxAvoidance bound how long a member is avoided after a
+	// refusal.
+	initialAvoidance = 50 * time.Millisecond
+	maxAvoidance     = 2 * time.Second
+	// maxAvoidanceDoublings limits the shift so that it cannot overflow.
+	maxAvoidanceDoublings = 10
 )
 
-// Member describes one member to a table.
+// Member is the configuration of one member.
 type Member struct {
 	Name     string
 	Distance Distance
-	// Leaving members get no new work.
-	Leaving bool
+	// Draining members get no reads.
+	Draining bool
 }
 
-// Table holds what one host knows of one service. It is not safe for
+// Table holds one host's routing state for one service. It is not safe for
 // concurrent use.
 type Table struct {
 	members []memberState
 	primary string
 	term    logpos.Term
-	// lost is since when no write has found a primary.
-	lost   bool
-	lostAt time.Duration
+	// primaryMissing is set while writes find no primary, since missingSince.
+	primaryMissing bool
+	missingSince   time.Duration
 }
 
-// memberState is what is known of one member.
+// memberState is the routing state of one member.
 type memberState struct {
 	Member
-	latency   time.Duration
-	measured  time.Duration
-	known     bool
-	failures  int
-	avoidTill time.Duration
+	latency    time.Duration
+	measuredAt time.Duration
+	measured   bool
+	failures   int
+	avoidUntil time.Duration
 }
 
-// NewTable returns a table of the given members.
 func NewTable(members []Member) *Table {
 	t := &Table{}
 	t.SetMembers(members)
 	return t
 }
 
-// SetMembers replaces the members and keeps what is known of those that stay.
+// SetMembers replaces the members and keeps the state of those that remain.
 func (t *Table) SetMembers(members []Member) {
 	old := t.members
 	t.members = make([]memberState, 0, len(members))
@@ -107,130 +109,136 @@
 	return nil
 }
 
-// Learn takes another host's word for who the primary is.
-func (t *Table) Learn(primary string, term logpos.Term) {
+// UpdatePrimary records another host's hint about the primary. Hints of older terms
+// and hints that name an unknown member are ignored.
+func (t *Table) UpdatePrimary(primary string, term logpos.Term) {
 	if primary == "" || term < t.term || t.member(primary) == nil {
 		return
 	}
 	t.primary, t.term = primary, term
 }
 
-// giveUpAfter is how long the lack of a primary is taken for a failover, which
-// is worth waiting for. It is well above the longest one measured.
-const giveUpAfter = 5 * time.Second
+// maxFailoverWait is how long writes wait for a primary. A service that is without
+// one for longer is not expected to recover by a failover.
+const maxFailoverWait = 5 * time.Second
 
-// WriteServed notes that a write found its primary.
-func (t *Table) WriteServed() { t.lost = false }
+// RecordWriteServed records that a write was served by the primary.
+func (t *Table) RecordWriteServed() { t.primaryMissing = false }
 
-// WriteRefused notes that a write found no primary. It reports whether that has
-// lasted for so long that waiting makes no sense: the caller then gets its
-// answer at once, after one attempt at each member.
-func (t *Table) WriteRefused(attempt int, now time.Duration) bool {
-	if !t.lost {
-		t.lost, t.lostAt = true, now
+// RecordWriteRefused records that an attempt of a write found no primary. It reports
+// whether the write should fail without further attempts: the primary has been
+// missing for maxFailoverWait, and the write has tried each member once.
+func (t *Table) RecordWriteRefused(attempt int, now time.Duration) bool {
+	if !t.primaryMissing {
+		t.primaryMissing, t.missingSince = true, now
 	}
-	return now-t.lostAt >= giveUpAfter && attempt+1 >= len(t.members)
+	return now-t.missingSince >= maxFailoverWait && attempt+1 >= len(t.members)
 }
 
-// Primary returns the primary and its term, or "" when it is not known.
+// Primary returns the primary and its term, or "" if the primary is unknown.
 func (t *Table) Primary() (string, logpos.Term) { return t.primary, t.term }
 
-// Served notes the latency of a request that a member answered.
-func (t *Table) Served(name string, latency, now time.Duration) {
+// RecordLatency records the latency of a request that a member served, and ends the
+// avoidance of the member.
+func (t *Table) RecordLatency(name string, latency, now time.Duration) {
 	m := t.member(name)
 	if m == nil {
 		return
 	}
-	m.failures, m.avoidTill = 0, 0
-	mean := m.cost(now)
-	if !m.known {
+	m.failures, m.avoidUntil = 0, 0
+	mean := m.expectedLatency(now)
+	if !m.measured {
 		mean = latency
 	}
-	m.latency = mean + time.Duration(smoothing*float64(latency-mean))
-	m.measured, m.known = now, true
+	m.latency = mean + time.Duration(latencySmoothing*float64(latency-mean))
+	m.measuredAt, m.measured = now, true
 }
 
-// Refused notes that a member could not serve a request. It is avoided for a
-// while that doubles with each refusal in a row.
-func (t *Table) Refused(name string, now time.Duration) {
+// RecordRefusal records that a member could not serve a request. The member is
+// avoided for a time that doubles with each consecutive refusal, up to maxAvoidance.
+func (t *Table) RecordRefusal(name string, now time.Duration) {
 	m := t.member(name)
 	if m == nil {
 		return
 	}
-	m.avoidTill = now + min(avoidFor<<min(m.failures, 10), avoidMax)
+	m.avoidUntil = now + min(initialAvoidance<<min(m.failures, maxAvoidanceDoublings), maxAvoidance)
 	m.failures++
 }
 
-// cost is the expected latency: the moving mean, which decays towards the base
-// of the member's distance while it is not measured.
-func (m *memberState) cost(now time.Duration) time.Duration {
-	base := baseCost[m.Distance]
-	if !m.known {
+// expectedLatency returns the moving average of the member's latency. It decays
+// towards the default of the member's distance while no sample is recorded.
+func (m *memberState) expectedLatency(now time.Duration) time.Duration {
+	base := defaultLatency[m.Distance]
+	if !m.measured {
 		return base
 	}
-	age := float64(now-m.measured) / float64(recall)
+	age := float64(now-m.measuredAt) / float64(latencyDecay)
 	weight := math.Exp(-age)
 	return base + time.Duration(weight*float64(m.latency-base))
 }
 
-// Choice is one member to try and how long it may wait to catch up.
-type Choice struct {
+// Candidate is a member to try for a read.
+type Candidate struct {
 	Upstream string
-	Wait     time.Duration
+	// Wait is how long the read may wait for the member to catch up.
+	Wait time.Duration
 }
 
-// Reads returns the members to try for a read, the cheapest first. Each may
-// wait as long as the detour to the next costs, which is at most twice the cost
-// of the better decision made with hindsight. A current read, which tolerates
-// no stale data, always needs a round to a majority, so it may wait for one.
-func (t *Table) Reads(now time.Duration, current bool) []Choice {
-	order := make([]*memberState, 0, len(t.members))
+// ReadCandidates returns the members to try for a read, the one with the lowest cost
+// first. Each may wait as long as the next one would cost more, which bounds the
+// total at twice the cost of the better of waiting and moving on. A linearizable read
+// needs a majority round trip on any member, so it may always wait for
+// maxCatchUpWait.
+func (t *Table) ReadCandidates(now time.Duration, linearizable bool) []Candidate {
+	members := make([]*memberState, 0, len(t.members))
 	for i := range t.members {
-		if !t.members[i].Leaving {
-			order = append(order, &t.members[i])
+		if !t.members[i].Draining {
+			members = append(members, &t.members[i])
 		}
 	}
-	slices.SortStableFunc(order, func(a, b *memberState) int {
-		if c := cmp.Compare(a.avoided(now), b.avoided(now)); c != 0 {
+	slices.SortStableFunc(members, func(a, b *memberState) int {
+		if c := cmp.Compare(a.avoidanceRank(now), b.avoidanceRank(now)); c != 0 {
 			return c
 		}
 		return cmp.Compare(t.readCost(a, now), t.readCost(b, now))
 	})
-	out := make([]Choice, 0, len(order))
-	for i, m := range order {
-		wait := maxWait
-		if i+1 < len(order) && !current {
-			wait = min(max(t.readCost(order[i+1], now)-t.readCost(m, now), minWait), maxWait)
+	out := make([]Candidate, 0, len(members))
+	for i, m := range members {
+		wait := maxCatchUpWait
+		if i+1 < len(members) && !linearizable {
+			wait = min(max(t.readCost(members[i+1], now)-t.readCost(m, now), minCatchUpWait), maxCatchUpWait)
 		}
-		out = append(out, Choice{Upstream: m.Name, Wait: wait})
+		out = append(out, Candidate{Upstream: m.Name, Wait: wait})
 	}
 	return out
 }
 
-// readCost is the cost of a read on a member. Slots of the primary are dearer
-// than latency, because only they can serve writes.
+// readCost is the cost of a read on a member. The primary costs more, because its
+// slots are needed for writes.
 func (t *Table) readCost(m *memberState, now time.Duration) time.Duration {
 	if m.Name == t.primary {
-		return m.cost(now) + primaryPenalty
+		return m.expectedLatency(now) + primaryReadPenalty
 	}
-	return m.cost(now)
+	return m.expectedLatency(now)
 }
 
-// avoided is 1 while the member is avoided; such members come last.
-func (m *memberState) avoided(now time.Duration) int {
-	if now < m.avoidTill {
+// avoidanceRank is the primary sort key of read candidates: 1 while the member is
+// avoided, so that it comes last, and 0 otherwise.
+func (m *memberState) avoidanceRank(now time.Duration) int {
+	if now < m.avoidUntil {
 		return 1
 	}
 	return 0
 }
 
-// Write returns the member to send the given attempt of a write to: the
-// primary, or each member in turn while none is known or it has failed.
-func (t *Table) Write(attempt int, now time.Duration) string {
+// WriteTarget returns the member for the given attempt of a write: the primary, or
+// each member in turn while the primary is unknown or avoided. The first attempt goes
+// to a known primary even if it is avoided. It returns "" if there are no members.
+func (t *Table) WriteTarget(attempt int, now time.Duration) string {
 	if len(t.members) == 0 {
 		return ""
 	}
-	if m := t.member(t.primary); m != nil && (now >= m.avoidTill || attempt == 0) {
+	if m := t.member(t.primary); m != nil && (now >= m.avoidUntil || attempt == 0) {
 		return m.Name
 	}
 	return t.members[attempt%len(t.members)].Name
--- a/core/route/table_test.go
+++ b/core/route/table_test.go
@@ -13,80 +13,82 @@
 
 func TestMain(m *testing.M) { fixedseed.Main(m) }
 
-func table() *route.Table {
+func newTable() *route.Table {
 	t := route.NewTable([]route.Member{
 		{Name: "near", Distance: route.SameZone},
 		{Name: "middle", Distance: route.SameRegion},
 		{Name: "far", Distance: route.OtherRegion},
 	})
-	t.Learn("far", 1)
+	t.UpdatePrimary("far", 1)
 	return t
 }
 
-func first(t *route.Table, now time.Duration) string { return t.Reads(now, false)[0].Upstream }
+func firstCandidate(t *route.Table, now time.Duration) string {
+	return t.ReadCandidates(now, false)[0].Upstream
+}
 
-func TestNearestFirstAndPrimaryLast(t *testing.T) {
-	tb := table()
-	require.Equal(t, "near", first(tb, 0))
-	tb.Learn("near", 2)
-	require.Equal(t, "middle", first(tb, 0), "reads spare the primary")
-	tb.Learn("far", 1)
+func TestReadsPreferNearestReplica(t *testing.T) {
+	tb := newTable()
+	require.Equal(t, "near", firstCandidate(tb, 0))
+	tb.UpdatePrimary("near", 2)
+	require.Equal(t, "middle", firstCandidate(tb, 0), "reads avoid the primary")
+	tb.UpdatePrimary("far", 1)
 	p, _ := tb.Primary()
 	require.Equal(t, "near", p, "an older term's hint must not win")
 }
 
-func TestSlowMemberIsLeftAndTriedAgain(t *testing.T) {
-	tb := table()
+func TestSlowMemberIsAvoidedAndRetried(t *testing.T) {
+	tb := newTable()
 	for range 20 {
-		tb.Served("near", 300*time.Millisecond, time.Second)
+		tb.RecordLatency("near", 300*time.Millisecond, time.Second)
 	}
-	require.Equal(t, "middle", first(tb, time.Second))
-	require.Equal(t, "near", first(tb, 20*time.Second))
+	require.Equal(t, "middle", firstCandidate(tb, time.Second))
+	require.Equal(t, "near", firstCandidate(tb, 20*time.Second))
 }
 
-func TestRefusalsBackOff(t *testing.T) {
-	tb := table()
-	tb.Refused("near", 0)
-	require.Equal(t, "middle", first(tb, 0))
-	require.Equal(t, "near", first(tb, time.Second))
+func TestRefusalBackoffIsBounded(t *testing.T) {
+	tb := newTable()
+	tb.RecordRefusal("near", 0)
+	require.Equal(t, "middle", firstCandidate(tb, 0))
+	require.Equal(t, "near", firstCandidate(tb, time.Second))
 	for range 30 {
-		tb.Refused("near", time.Second)
+		tb.RecordRefusal("near", time.Second)
 	}
-	require.Equal(t, "near", first(tb, 4*time.Second), "a member is avoided for a bounded time")
+	require.Equal(t, "near", firstCandidate(tb, 4*time.Second), "the avoidance time must be bounded")
 }
 
-func TestLeavingMembersGetNoReads(t *testing.T) {
-	tb := table()
-	tb.SetMembers([]route.Member{{Name: "near", Leaving: true}, {Name: "far", Distance: route.OtherRegion}})
-	require.Len(t, tb.Reads(0, false), 1)
-	require.Equal(t, "far", first(tb, 0))
+func TestDrainingMembersGetNoReads(t *testing.T) {
+	tb := newTable()
+	tb.SetMembers([]route.Member{{Name: "near", Draining: true}, {Name: "far", Distance: route.OtherRegion}})
+	require.Len(t, tb.ReadCandidates(0, false), 1)
+	require.Equal(t, "far", firstCandidate(tb, 0))
 }
 
-// TestEveryMemberIsTried checks that a write reaches every member in a round,
-// whatever has failed before, so that the primary is found in the end.
-func TestEveryMemberIsTried(t *testing.T) {
+// TestWriteAttemptsReachEveryMember checks that consecutive attempts of a write cover
+// all members, whichever have failed before, so that the primary is found.
+func TestWriteAttemptsReachEveryMember(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		tb := table()
+		tb := newTable()
 		for range rapid.IntRange(0, 10).Draw(t, "failures") {
-			tb.Refused(rapid.SampledFrom([]string{"near", "middle", "far"}).Draw(t, "member"), 0)
+			tb.RecordRefusal(rapid.SampledFrom([]string{"near", "middle", "far"}).Draw(t, "member"), 0)
 		}
-		tb.Refused("far", 0)
+		tb.RecordRefusal("far", 0)
 		tried := map[string]bool{}
 		for attempt := range 4 {
-			tried[tb.Write(attempt, 0)] = true
+			tried[tb.WriteTarget(attempt, 0)] = true
 		}
 		require.Len(t, tried, 3)
 	})
 }
 
-// TestWritesAreNotHeldForEver checks that writes wait through a failover, but
-// get their answer at once when there has been no primary for long.
-func TestWritesAreNotHeldForEver(t *testing.T) {
-	tb := table()
-	require.False(t, tb.WriteRefused(10, 0))
-	require.False(t, tb.WriteRefused(10, 4*time.Second))
-	require.False(t, tb.WriteRefused(0, 6*time.Second), "every member is tried first")
-	require.True(t, tb.WriteRefused(2, 6*time.Second))
-	tb.WriteServed()
-	require.False(t, tb.WriteRefused(2, 7*time.Second), "a new loss is waited for again")
+// TestWritesFailAfterMaxFailoverWait checks that writes wait during a failover, but
+// fail without further attempts if the primary has been missing for longer.
+func TestWritesFailAfterMaxFailoverWait(t *testing.T) {
+	tb := newTable()
+	require.False(t, tb.RecordWriteRefused(10, 0))
+	require.False(t, tb.RecordWriteRefused(10, 4*time.Second))
+	require.False(t, tb.RecordWriteRefused(0, 6*time.Second), "every member must be tried first")
+	require.True(t, tb.RecordWriteRefused(2, 6*time.Second))
+	tb.RecordWriteServed()
+	require.False(t, tb.RecordWriteRefused(2, 7*time.Second), "a served write must reset the wait")
 }
--- a/node/router/router.go
+++ b/node/router/router.go
@@ -114,7 +114,7 @@
 	var last *outcome.Refusal
 	for attempt := 0; ; attempt++ {
 		r.mu.Lock()
-		member := st.table.Write(attempt, r.now())
+		member := st.table.WriteTarget(attempt, r.now())
 		r.mu.Unlock()
 		resp := r.try(ctx, svc, st, member, req)
 		if resp.Refusal == nil || !r.mayRepeat(req, resp.Refusal) {
@@ -135,7 +135,7 @@
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	st.table.WriteServed()
+	st.table.RecordWriteServed()
 }
 
 // hopeless reports whether the service has been without a primary for so long
@@ -143,7 +143,7 @@
 func (r *Router) hopeless(st *serviceTable, attempt int) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return st.table.WriteRefused(attempt, r.now())
+	return st.table.RecordWriteRefused(attempt, r.now())
 }
 
 // exhausted is the refusal of a request whose deadline came while it was being
@@ -159,7 +159,7 @@
 func (r *Router) doRead(ctx context.Context, svc conf.Service, st *serviceTable, req *request.Request) *request.Response {
 	for attempt := 0; ; attempt++ {
 		r.mu.Lock()
-		choices := st.table.Reads(r.now(), req.Staleness == 0)
+		choices := st.table.ReadCandidates(r.now(), req.Staleness == 0)
 		r.mu.Unlock()
 		last := outcome.Refuse(outcome.NoPrimary, "service %s has no upstream that takes work", svc.Name)
 		for _, c := range choices {
@@ -229,11 +229,11 @@
 	resp := r.Send(ctx, svc, member, &attempt)
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	st.table.Learn(resp.Hint.Primary, resp.Hint.Term)
+	st.table.UpdatePrimary(resp.Hint.Primary, resp.Hint.Term)
 	if resp.Refusal == nil {
-		st.table.Served(member, time.Since(started), r.now())
+		st.table.RecordLatency(member, time.Since(started), r.now())
 	} else {
-		st.table.Refused(member, r.now())
+		st.table.RecordRefusal(member, r.now())
 	}
 	return resp
 }
--- a/node/router/table.go
+++ b/node/router/table.go
@@ -33,7 +33,7 @@
 	for _, u := range svc.Upstreams {
 		out = append(out, route.Member{
 			Name: u.Name, Distance: r.distance(cfg, u.Zone),
-			Leaving: cfg.Draining(conf.DrainUpstream, u.Name),
+			Draining: cfg.Draining(conf.DrainUpstream, u.Name),
 		})
 	}
 	return out
