--- a/core/store/errors.go
+++ b/core/store/errors.go
@@ -5,31 +5,29 @@
 	"fmt"
 )
 
-// Failure says why a call did not succeed.
+// Failure is the reason why a call failed.
 type Failure uint8
 
-// The failures.
 const (
-	// Unanswered means that no whole answer came: the call may have been
-	// carried out, or may be later.
+	// Unanswered means that no complete response arrived: the call may have been
+	// executed, or may still be.
 	Unanswered Failure = iota
-	// Unavailable means that the store refused; nothing was done.
+	// Unavailable means that the store refused the call; nothing was changed.
 	Unavailable
-	// Throttled means that the call was above the rate; nothing was done.
+	// Throttled means that the call exceeded the rate limit; nothing was changed.
 	Throttled
-	// Conflict means that a condition did not hold; nothing was done.
+	// Conflict means that a condition was not met; nothing was changed.
 	Conflict
-	// LeaseEnded means that there is no such lease; nothing was done.
+	// LeaseEnded means that the lease does not exist; nothing was changed.
 	LeaseEnded
-	// Compacted means that the history that a watch asked for is gone.
+	// Compacted means that the requested history of a watch has been compacted.
 	Compacted
 	// NotFound means that the key does not exist.
 	NotFound
-	// Restored means that the store has returned from an older copy since the caller
-	// last heard of it: what the call was based on may not hold there. A change may
-	// have been carried out.
+	// Restored means that the store was restored from a backup after the state that
+	// the call was based on was read. A change may have been executed.
 	Restored
-	// Rejected means that the store did not accept the call as it was.
+	// Rejected means that the store rejected the call as invalid.
 	Rejected
 )
 
@@ -37,13 +35,13 @@
 
 func (f Failure) String() string { return failureNames[f] }
 
-// Error is a call that did not succeed.
+// Error reports a failed call.
 type Error struct {
 	Call    string
 	Failure Failure
-	// Current is the state of the conditions' keys after a Conflict.
+	// Current is the state of the conditions' keys; set for Conflict.
 	Current []Item
-	// Epoch is the store's at its answer, after a Restored.
+	// Epoch is the store's epoch in its response; set for Restored.
 	Epoch Epoch
 	Err   error
 }
@@ -63,8 +61,8 @@
 	return errors.As(err, &e) && e.Failure == f
 }
 
-// Away reports whether err says that the store itself could not be used, as
-// against an answer that it gave.
-func Away(err error) bool {
+// StoreUnreachable reports whether the store did not process the call or did not
+// respond, rather than answering with an error about the call itself.
+func StoreUnreachable(err error) bool {
 	return Is(err, Unanswered) || Is(err, Unavailable) || Is(err, Throttled)
 }
--- a/core/store/revision_test.go
+++ b/core/store/revision_test.go
@@ -9,9 +9,9 @@
 	"github.com/dotterelswitch/dotterelswitch/core/store"
 )
 
-// TestLaterEpochIsAfterAllOfAnEarlierOne: numbers go back with a restore, positions
-// do not.
-func TestLaterEpochIsAfterAllOfAnEarlierOne(t *testing.T) {
+// A restore makes the store reuse lower numbers; revisions must still compare in
+// order.
+func TestRevisionsOfLaterEpochsCompareGreater(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		epoch := rapid.Uint64Range(0, 1<<24-2).Draw(t, "epoch")
 		earlier, err := store.NewRevision(store.Epoch(epoch), rapid.Uint64Range(0, 1<<40-1).Draw(t, "earlier"))
@@ -25,17 +25,17 @@
 	})
 }
 
-func TestRevisionOutOfRangeIsAnError(t *testing.T) {
-	var out *store.RangeError
+func TestNewRevisionRejectsOutOfRange(t *testing.T) {
+	var rangeErr *store.RangeError
 	_, err := store.NewRevision(1<<24, 0)
-	require.ErrorAs(t, err, &out)
+	require.ErrorAs(t, err, &rangeErr)
 	_, err = store.NewRevision(0, 1<<40)
-	require.ErrorAs(t, err, &out)
+	require.ErrorAs(t, err, &rangeErr)
 }
 
-// TestStoreWithoutEpochsKeepsItsNumbers: they are what others know, such as fencing
-// tokens that were given out before.
-func TestStoreWithoutEpochsKeepsItsNumbers(t *testing.T) {
+// Without epochs a revision must equal the store's number, which other systems use,
+// for example as a fencing token.
+func TestRevisionInEpochZeroEqualsNumber(t *testing.T) {
 	r, err := store.NewRevision(0, 319)
 	require.NoError(t, err)
 	require.EqualValues(t, 319, r)
--- a/core/store/store.go
+++ b/core/store/store.go
@@ -1,76 +1,77 @@
-// Package store holds the vocabulary of the platform's key-value store: items,
-// conditional changes and failures. Adapters speak it; nothing here does I/O.
+// Package store holds the data types of the platform's key-value store: items,
+// transactions, leases and failures. It does no I/O; adapters for the different
+// stores use these types.
 package store
 
 import "time"
 
-// Item is a key with its value, or the notice that it was deleted.
+// Item is a key with its value, or a tombstone if the key was deleted.
 type Item struct {
 	Key   string
 	Value []byte
-	// Revision is the store's version of the last change of this key. In the epoch
-	// after a restore it counts as a change of that epoch.
+	// Revision is the revision of the last change of this key. After a restore, keys
+	// from the backup count as changed in the new epoch.
 	Revision Revision
 	Deleted  bool
 }
 
-// Listing is what a range or a watch returned.
+// Listing is the result of a range read or a watch.
 type Listing struct {
 	Items []Item
-	// Revision is the store's version that the listing is complete up to. A
-	// watch continues from it.
+	// Revision is the revision up to which the listing is complete. A watch
+	// continues from it.
 	Revision Revision
 }
 
-// Condition holds while a key was last changed in the given revision; zero
-// means that the key does not exist.
+// Condition requires that a key was last changed at the given revision; zero
+// requires that the key does not exist.
 type Condition struct {
 	Key      string
 	Revision Revision
 }
 
-// Write sets a key. A lease that is not zero removes the key when it ends.
+// Write sets a key. If a lease is given, the key is removed when the lease ends.
 type Write struct {
 	Key   string
 	Value []byte
 	Lease Lease
 }
 
-// Txn is a change that happens whole or not at all.
+// Txn is an atomic conditional change.
 type Txn struct {
 	Conditions []Condition
 	Writes     []Write
 	Deletes    []string
 }
 
-// Holds reports whether a change says in an epoch of the store what it said to its
-// author: its conditions and leases are of that epoch.
-func (t Txn) Holds(in Epoch) bool {
+// ValidIn reports whether the conditions and leases of a transaction belong to the
+// given epoch. In another epoch the same numbers may denote other changes and leases.
+func (t Txn) ValidIn(epoch Epoch) bool {
 	for _, c := range t.Conditions {
-		if c.Revision != 0 && c.Revision.Epoch() != in {
+		if c.Revision != 0 && c.Revision.Epoch() != epoch {
 			return false
 		}
 	}
 	for _, w := range t.Writes {
-		if !w.Lease.None() && w.Lease.Epoch != in {
+		if !w.Lease.IsZero() && w.Lease.Epoch != epoch {
 			return false
 		}
 	}
 	return true
 }
 
-// Lease names a lease; the zero value is none. The store may grant a number again
-// after it has returned from an older copy, so a lease is one of its epoch.
+// Lease identifies a lease; the zero value means no lease. The store may reuse an ID
+// after a restore, so the epoch is part of the identity.
 type Lease struct {
 	ID    uint64
 	Epoch Epoch
 }
 
-// None reports whether this is no lease.
-func (l Lease) None() bool { return l == Lease{} }
+func (l Lease) IsZero() bool { return l == Lease{} }
 
-// Grant is a lease and how long it runs from the arrival of the call.
+// Grant is a granted lease.
 type Grant struct {
 	Lease Lease
-	TTL   time.Duration
+	// TTL begins when the call arrives at the store.
+	TTL time.Duration
 }
--- a/node/registry/presence.go
+++ b/node/registry/presence.go
@@ -59,7 +59,7 @@
 // of its epoch: in another, its number may be another host's.
 func (r *Registry) keepOnce(ctx context.Context) error {
 	lease := r.currentLease()
-	if !lease.None() && r.registered() {
+	if !lease.IsZero() && r.registered() {
 		err := r.store.RenewLease(ctx, lease)
 		r.noteRestored(err)
 		if !store.Is(err, store.LeaseEnded) && !store.Is(err, store.Restored) {
@@ -67,7 +67,7 @@
 		}
 		eventlog.LeaseLost.Warn(r.log).Err(err).Uint64("lease", lease.ID).Uint64("epoch", uint64(lease.Epoch)).Send()
 	}
-	if !lease.None() && lease.Epoch < r.Epoch() {
+	if !lease.IsZero() && lease.Epoch < r.Epoch() {
 		clock.Sleep(ctx, spread(len(r.Hosts()), true))
 	}
 	err := r.register(ctx)
@@ -164,7 +164,7 @@
 	lease, epoch := r.lease, r.revision.Epoch()
 	r.mu.Unlock()
 	switch {
-	case lease.None():
+	case lease.IsZero():
 		return nil
 	case lease.Epoch < epoch:
 		_, err := r.store.Commit(ctx, store.Txn{Deletes: []string{hostKey(r.self.Name)}})
@@ -202,7 +202,7 @@
 // may be taken all the same; the store's news tell.
 func (r *Registry) TakeLock(ctx context.Context, service string, known succession.Lock) (token uint64, err error) {
 	lease := r.currentLease()
-	if lease.None() {
+	if lease.IsZero() {
 		return 0, errNotRegistered
 	}
 	key := lockKey(service)
