--- a/core/token/decode.go
+++ b/core/token/decode.go
@@ -8,8 +8,8 @@
 	"github.com/dotterelswitch/dotterelswitch/core/logpos"
 )
 
-// Decode reads a token. The empty text is the empty token; anything else that
-// Encode would not have written is a *DecodeError.
+// Decode parses a token. The empty string is the empty token. The error is a
+// *DecodeError for any other text that Encode does not produce.
 func Decode(text string) (Token, error) {
 	if text == "" {
 		return Token{}, nil
@@ -59,7 +59,7 @@
 	return t, nil
 }
 
-// reader consumes a byte slice and remembers whether any read failed.
+// reader reads values from a byte slice and records whether any read failed.
 type reader struct {
 	rest   []byte
 	failed bool
--- a/core/token/errors.go
+++ b/core/token/errors.go
@@ -2,19 +2,19 @@
 
 import "fmt"
 
-// DecodeError reports a text that is not a session token.
+// DecodeError reports a text that is not a valid session token.
 type DecodeError struct {
 	Reason string
 }
 
 func (e *DecodeError) Error() string { return "session token is malformed: " + e.Reason }
 
-// LimitError reports a token that would outgrow a limit.
+// LimitError reports a token that would exceed a limit.
 type LimitError struct {
-	What  string
+	Unit  string
 	Limit int
 }
 
 func (e *LimitError) Error() string {
-	return fmt.Sprintf("session token: more than %d %s", e.Limit, e.What)
+	return fmt.Sprintf("session token: more than %d %s", e.Limit, e.Unit)
 }
--- a/core/token/token.go
+++ b/core/token/token.go
@@ -1,6 +1,6 @@
-// Package token encodes the session token: for each service the newest log
-// position that a caller has seen. The token travels with the caller, so a
-// session may move between hosts without any state shared among them.
+// Package token encodes the session token, which holds the newest log position that
+// a caller has seen of each service. The caller passes the token with its requests,
+// so a session may move between hosts that share no state.
 package token
 
 import (
@@ -17,13 +17,13 @@
 const (
 	// Version is the first byte of every token.
 	Version = 1
-	// MaxServices is the most services one token may name. The service whose
-	// position is least recent cannot be known, so a session that touches more
-	// gets an error instead of a weaker promise.
+	// MaxServices is the maximum number of services in one token. A session that
+	// uses more gets an error: dropping a position would silently weaken its
+	// consistency.
 	MaxServices = 32
-	// MaxServiceName is the longest service name, in bytes.
+	// MaxServiceName is the maximum length of a service name in bytes.
 	MaxServiceName = 63
-	// MaxEncoded is the longest text that Decode looks at, in bytes.
+	// MaxEncoded is the maximum length of an encoded token in bytes.
 	MaxEncoded = 4096
 )
 
@@ -36,27 +36,27 @@
 	positions map[string]logpos.Position
 }
 
-// Position returns the position recorded for service.
 func (t Token) Position(service string) (logpos.Position, bool) {
 	p, found := t.positions[service]
 	return p, found
 }
 
-// Len returns the number of services named.
+// Len is the number of services in the token.
 func (t Token) Len() int { return len(t.positions) }
 
-// Advance returns a token in which service is at p or later. The receiver is
-// unchanged. Naming more than MaxServices services is a *LimitError.
+// Advance returns a token in which the position of service is at least p. The
+// receiver is not modified. The error is a *LimitError if the result would exceed
+// MaxServices or MaxServiceName.
 func (t Token) Advance(service string, p logpos.Position) (Token, error) {
 	old, found := t.positions[service]
 	if found && !old.Less(p) {
 		return t, nil
 	}
 	if !found && len(t.positions) >= MaxServices {
-		return t, &LimitError{What: "services", Limit: MaxServices}
+		return t, &LimitError{Unit: "services", Limit: MaxServices}
 	}
 	if len(service) == 0 || len(service) > MaxServiceName {
-		return t, &LimitError{What: "service name bytes", Limit: MaxServiceName}
+		return t, &LimitError{Unit: "service name bytes", Limit: MaxServiceName}
 	}
 	next := maps.Clone(t.positions)
 	if next == nil {
@@ -66,21 +66,21 @@
 	return Token{positions: next}, nil
 }
 
-// Merge returns a token at least as new as both t and u.
-func (t Token) Merge(u Token) (Token, error) {
+// Merge returns a token with the newer position of t and other for each service. The
+// error is a *LimitError.
+func (t Token) Merge(other Token) (Token, error) {
 	var err error
-	for _, service := range slices.Sorted(maps.Keys(u.positions)) {
-		if t, err = t.Advance(service, u.positions[service]); err != nil {
+	for _, service := range slices.Sorted(maps.Keys(other.positions)) {
+		if t, err = t.Advance(service, other.positions[service]); err != nil {
 			return t, err
 		}
 	}
 	return t, nil
 }
 
-// Encode returns the text form: base64url of a version byte, the positions in
-// order of service name, and a CRC-32C that tells a damaged token from a valid
-// one. It is no protection against forgery: a forged position can only make
-// its own caller wait or be refused.
+// Encode returns the text form: base64url of a version byte, the positions sorted by
+// service name, and a CRC-32C that detects corruption. The token needs no signature: a
+// forged position can only make its own caller wait or be refused.
 func (t Token) Encode() string {
 	buf := []byte{Version}
 	buf = binary.AppendUvarint(buf, uint64(len(t.positions)))
--- a/core/token/token_test.go
+++ b/core/token/token_test.go
@@ -15,7 +15,7 @@
 
 func TestMain(m *testing.M) { fixedseed.Main(m) }
 
-func drawToken(t *rapid.T) token.Token {
+func randomToken(t *rapid.T) token.Token {
 	var tok token.Token
 	for i := range rapid.IntRange(0, token.MaxServices).Draw(t, "services") {
 		next, err := tok.Advance(fmt.Sprintf("service-%d", i), logpos.Position{
@@ -29,19 +29,19 @@
 
 func TestRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		tok := drawToken(t)
+		tok := randomToken(t)
 		text := tok.Encode()
 		require.LessOrEqual(t, len(text), token.MaxEncoded)
-		back, err := token.Decode(text)
+		decoded, err := token.Decode(text)
 		require.NoError(t, err)
-		require.Equal(t, text, back.Encode())
+		require.Equal(t, text, decoded.Encode())
 	})
 }
 
-// TestDamage changes one character, which must not go unnoticed.
-func TestDamage(t *testing.T) {
+// Decode must return an error for a token with one changed character.
+func TestDecodeDetectsCorruption(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		text := drawToken(t).Encode()
+		text := randomToken(t).Encode()
 		i := rapid.IntRange(0, len(text)-1).Draw(t, "index")
 		c := rapid.SampledFrom([]byte("ABCxyz019-_")).Draw(t, "character")
 		if text[i] == c {
@@ -52,7 +52,7 @@
 	})
 }
 
-func TestAdvanceNeverGoesBack(t *testing.T) {
+func TestAdvanceIsMonotonic(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var tok token.Token
 		var newest logpos.Position
@@ -79,16 +79,16 @@
 		require.NoError(t, err)
 		tok = next
 	}
-	var limit *token.LimitError
+	var limitErr *token.LimitError
 	_, err := tok.Advance("one-more", logpos.Position{Term: 1, Offset: 1})
-	require.ErrorAs(t, err, &limit)
-	var bad *token.DecodeError
+	require.ErrorAs(t, err, &limitErr)
+	var decodeErr *token.DecodeError
 	_, err = token.Decode(strings.Repeat("A", token.MaxEncoded+1))
-	require.ErrorAs(t, err, &bad)
+	require.ErrorAs(t, err, &decodeErr)
 }
 
-// FuzzDecode checks that no text makes the decoder fail, and that what it
-// takes is what Encode writes.
+// FuzzDecode checks that Decode does not panic and accepts only texts that Encode
+// produces.
 func FuzzDecode(f *testing.F) {
 	var tok token.Token
 	tok, _ = tok.Advance("agenda-db-1", logpos.Position{Term: 3, Offset: 99})
