--- a/core/session/session.go
+++ b/core/session/session.go
@@ -1,6 +1,6 @@
-// Package session keeps what a caller's connection has been promised: values,
-// prepared names, its transaction and its last commit. It decides which
-// statements the system answers by itself.
+// Package session holds the state of a caller's session: session values, prepared
+// statements, the state of the transaction and the position of the last commit. It
+// answers the statements that need no upstream.
 package session
 
 import (
@@ -13,37 +13,38 @@
 )
 
 const (
-	// maxPrepared bounds the prepared names of one session.
+	// maxPrepared is the maximum number of prepared statements of a session.
 	maxPrepared = 1000
-	// maxValues bounds the values of one session.
+	// maxValues is the maximum number of values of a session.
 	maxValues = 1000
 )
 
-// Session is one caller's state. It is not safe for concurrent use.
+// Session is the state of one caller's session. It is not safe for concurrent use.
 type Session struct {
 	Database string
-	// Committed is the position of the session's newest commit.
-	Committed logpos.Position
-	State     statement.TxState
-	// ReadOnly is set in a transaction that announced no writes.
+	// LastCommit is the position of the session's newest commit.
+	LastCommit logpos.Position
+	State      statement.TxState
+	// ReadOnly is set in a transaction that was begun as read-only.
 	ReadOnly bool
 	// Wrote is set once a transaction has sent a write.
 	Wrote bool
-	// lost is why the system ended the transaction; the caller is told once.
-	lost     string
-	values   map[string]string
-	prepared map[string]statement.Shape
+	// abortReason is why the system aborted the transaction; it is reported to the
+	// caller once.
+	abortReason string
+	values      map[string]string
+	prepared    map[string]statement.Shape
 }
 
-// New returns the state of a session that has just started.
 func New(database string) *Session {
 	return &Session{Database: database, values: map[string]string{}, prepared: map[string]statement.Shape{}}
 }
 
-// Values returns the session values. The caller must not change them.
+// Values returns the session values, which the caller must not modify.
 func (s *Session) Values() map[string]string { return s.values }
 
-// ValuesKey identifies a set of values: equal sets have equal keys.
+// ValuesKey returns a string that is equal for equal sets of values only. It is empty
+// for an empty set.
 func ValuesKey(values map[string]string) string {
 	if len(values) == 0 {
 		return ""
@@ -58,9 +59,10 @@
 	return b.String()
 }
 
-// Resolve replaces a prepared name by its shape. It reports false for a name
-// that the session has not prepared.
-func (s *Session) Resolve(st statement.Statement) (statement.Statement, bool) {
+// ResolvePrepared fills in the shape of the prepared statement that st executes. It
+// reports false if the session has not prepared the name. Other statements are
+// returned unchanged.
+func (s *Session) ResolvePrepared(st statement.Statement) (statement.Statement, bool) {
 	if st.Kind != statement.Execute {
 		return st, true
 	}
@@ -68,14 +70,14 @@
 	return st.Prepared(shape), found
 }
 
-// Local answers the statements that need no upstream. It reports whether it
-// did.
-func (s *Session) Local(st statement.Statement) (statement.Answer, bool) {
+// AnswerLocally answers a statement that needs no upstream. It reports false if the
+// statement must be sent to one.
+func (s *Session) AnswerLocally(st statement.Statement) (statement.Answer, bool) {
 	if st.Kind == statement.Malformed {
 		return s.refuse(statement.Invalid, st.Problem), true
 	}
 	if s.State == statement.Failed {
-		return s.inFailed(st), true
+		return s.answerInFailedTransaction(st), true
 	}
 	switch st.Kind {
 	case statement.Set:
@@ -91,7 +93,7 @@
 			return s.refuse(statement.Invalid, "no transaction is open"), true
 		}
 		if st.Kind == statement.Rollback {
-			s.End()
+			s.EndTransaction()
 			return statement.Answer{State: s.State}, true
 		}
 	}
@@ -102,29 +104,29 @@
 	return statement.Refuse(code, detail, s.State)
 }
 
-// inFailed accepts only the end of a failed transaction. Nothing of it was
-// kept, so a commit is answered as aborted.
-func (s *Session) inFailed(st statement.Statement) statement.Answer {
+// answerInFailedTransaction accepts only a rollback or commit of a failed
+// transaction. The transaction has no effect, so a commit is answered with Aborted.
+func (s *Session) answerInFailedTransaction(st statement.Statement) statement.Answer {
 	switch st.Kind {
 	case statement.Rollback:
-		s.End()
+		s.EndTransaction()
 		return statement.Answer{State: s.State}
 	case statement.Commit:
-		s.End()
+		s.EndTransaction()
 		return s.refuse(statement.Aborted, "the transaction had failed and was rolled back")
 	default:
-		return s.refuseInFailed()
+		return s.refuseInFailedTransaction()
 	}
 }
 
-// refuseInFailed answers a statement in a failed transaction. The first one
-// after the system ended the transaction is told why.
-func (s *Session) refuseInFailed() statement.Answer {
-	if s.lost == "" {
+// refuseInFailedTransaction refuses a statement in a failed transaction. The first
+// refusal after the system aborted the transaction contains the reason.
+func (s *Session) refuseInFailedTransaction() statement.Answer {
+	if s.abortReason == "" {
 		return s.refuse(statement.Invalid, "the transaction has failed; roll it back")
 	}
-	reason := s.lost
-	s.lost = ""
+	reason := s.abortReason
+	s.abortReason = ""
 	return s.refuse(statement.Aborted, reason)
 }
 
@@ -149,8 +151,8 @@
 	return statement.Answer{State: s.State}
 }
 
-// begin opens a transaction without an upstream. One is chosen at the first
-// statement, so that nothing is held during the pause before it.
+// begin opens a transaction without an upstream. The upstream is chosen at the first
+// statement, so that no connection is held before it.
 func (s *Session) begin(st statement.Statement) statement.Answer {
 	if s.State == statement.Open {
 		return s.refuse(statement.Invalid, "a transaction is open already")
@@ -159,20 +161,21 @@
 	return statement.Answer{State: s.State}
 }
 
-// End notes that no transaction is open any more.
-func (s *Session) End() {
-	s.State, s.ReadOnly, s.Wrote, s.lost = statement.Idle, false, false, ""
+// EndTransaction resets the transaction state to idle.
+func (s *Session) EndTransaction() {
+	s.State, s.ReadOnly, s.Wrote, s.abortReason = statement.Idle, false, false, ""
 }
 
-// Fail notes that the open transaction is lost.
-func (s *Session) Fail() {
+// FailTransaction marks the open transaction, if any, as failed.
+func (s *Session) FailTransaction() {
 	if s.State == statement.Open {
 		s.State = statement.Failed
 	}
 }
 
-// Lose notes that the system has ended the open transaction, and why.
-func (s *Session) Lose(reason string) {
-	s.Fail()
-	s.lost = reason
+// AbortTransaction marks the open transaction as failed, with the reason to report to
+// the caller.
+func (s *Session) AbortTransaction(reason string) {
+	s.FailTransaction()
+	s.abortReason = reason
 }
--- a/node/edge/caller.go
+++ b/node/edge/caller.go
@@ -269,7 +269,7 @@
 		return
 	}
 	s.dropTx()
-	s.state.Lose(reason)
+	s.state.AbortTransaction(reason)
 }
 
 // abortIdle ends a transaction that has rested since before the given time.
--- a/node/edge/query.go
+++ b/node/edge/query.go
@@ -41,13 +41,13 @@
 
 // answer returns what becomes of one statement under a configuration.
 func (s *caller) answer(c *catalog.Catalog, a arrival, record *Record) replicaset.Outcome {
-	st, known := s.state.Resolve(a.message.Statement)
+	st, known := s.state.ResolvePrepared(a.message.Statement)
 	record.Statement = st
 	route, found := c.Route(s.state.Database)
 	if found && !s.admit(c, route) && st.Kind != statement.Rollback {
 		return replicaset.Outcome{Answer: s.failWith(st, statement.Refuse(statement.Unauthorized, "no team holds this session's key any more", statement.Idle))}
 	}
-	if answer, local := s.state.Local(st); local {
+	if answer, local := s.state.AnswerLocally(st); local {
 		if st.Kind == statement.Rollback && s.state.State == statement.Idle {
 			s.dropOwnTx()
 		}
@@ -71,7 +71,7 @@
 	team, admitted := c.Authorize(route, s.credential)
 	if s.tx != nil && team.Name != s.team.Name {
 		s.dropOwnTx()
-		s.state.Lose("the caller's team has changed")
+		s.state.AbortTransaction("the caller's team has changed")
 	}
 	s.team = team
 	return admitted
@@ -81,7 +81,7 @@
 // answer.
 func (s *caller) failStatement(a statement.Answer) statement.Answer {
 	s.dropOwnTx()
-	s.state.Fail()
+	s.state.FailTransaction()
 	a.State = s.state.State
 	return a
 }
@@ -91,7 +91,7 @@
 func (s *caller) failWith(st statement.Statement, a statement.Answer) statement.Answer {
 	a = s.failStatement(a)
 	if st.Kind == statement.Commit {
-		s.state.End()
+		s.state.EndTransaction()
 		a.State = s.state.State
 	}
 	return a
@@ -147,8 +147,8 @@
 
 // noteCommit remembers the position of a commit that the caller is told of.
 func (s *caller) noteCommit(a statement.Answer) {
-	if a.Code == statement.OK && s.state.Committed.Less(a.Position) {
-		s.state.Committed = a.Position
+	if a.Code == statement.OK && s.state.LastCommit.Less(a.Position) {
+		s.state.LastCommit = a.Position
 	}
 }
 
@@ -157,7 +157,7 @@
 	startBy := endBy - runMargin
 	freshBy := arrived + time.Duration(connpool.FreshShare*float64(route.TargetLatency))
 	return replicaset.Work{
-		Statement: st, Values: s.state.Values(), Committed: s.state.Committed, Route: route, Team: s.team.Name,
+		Statement: st, Values: s.state.Values(), Committed: s.state.LastCommit, Route: route, Team: s.team.Name,
 		ReadOnly: s.state.ReadOnly, Received: arrived,
 		AimBy: arrived + route.TargetLatency, FreshBy: min(freshBy, startBy), StartBy: startBy, EndBy: endBy,
 		AttemptTime: max(time.Duration(attemptShare*float64(route.TargetLatency)), minAttempt),
@@ -185,7 +185,7 @@
 			s.noteCommit(out.Answer)
 		}
 		s.tx = nil
-		s.state.End()
+		s.state.EndTransaction()
 	default:
 		s.state.Wrote = s.state.Wrote || w.Statement.Writes()
 		out.Answer = s.tx.Do(s.ctx, w)
