--- a/core/ledger/key.go
+++ b/core/ledger/key.go
@@ -1,8 +1,8 @@
-// Package ledger holds the rules of idempotency keys. A keyed request runs in
-// one transaction with a row in the ledger table, so a repeated request finds
-// the first one's answer. Rows are trimmed by age; a key carries its own time
-// (it is a UUID of version 7, RFC 9562), so a key that may have been trimmed is
-// recognised and refused instead of run again.
+// Package ledger implements idempotency keys. A request with a key inserts a row
+// into the ledger table in the same transaction, so a repeated request finds the
+// stored response. Rows are deleted by age. A key is a UUID of version 7 (RFC 9562),
+// which contains its time, so a key whose row may have been deleted is rejected
+// instead of executed again.
 package ledger
 
 import (
@@ -14,23 +14,25 @@
 	"github.com/google/uuid"
 )
 
-// Retention of ledger rows.
 const (
-	// AcceptFor is the greatest age of a key that is still accepted.
-	AcceptFor = 24 * time.Hour
-	// ClockSkew is the greatest difference between two clocks that the rules
-	// tolerate. Rows are kept for AcceptFor plus twice this.
-	ClockSkew = time.Hour
-	// MaxAnswer is the largest answer that is kept for repeats, in bytes.
-	MaxAnswer = 64 * 1024
+	// MaxKeyAge is the maximum age of an accepted key.
+	MaxKeyAge = 24 * time.Hour
+	// MaxClockSkew is the maximum tolerated difference between two clocks. Rows are
+	// retained for MaxKeyAge plus twice MaxClockSkew.
+	MaxClockSkew = time.Hour
+	// MaxAnswerBytes is the maximum size of a stored response.
+	MaxAnswerBytes = 64 * 1024
 )
 
 const uuidVersion = 7
 
-// Key is a checked idempotency key.
+// fingerprintBytes is the length of the digest prefix in a fingerprint.
+const fingerprintBytes = 16
+
+// Key is a valid idempotency key.
 type Key struct {
-	id     uuid.UUID
-	issued time.Time
+	id       uuid.UUID
+	issuedAt time.Time
 }
 
 // KeyError reports a text that is not an idempotency key.
@@ -42,41 +44,41 @@
 	return fmt.Sprintf("idempotency key %q is not a UUID of version 7", e.Text)
 }
 
-// ParseKey reads a key.
+// ParseKey parses a key. The error is a *KeyError.
 func ParseKey(text string) (Key, error) {
 	id, err := uuid.Parse(text)
 	if err != nil || id.Version() != uuidVersion {
 		return Key{}, &KeyError{Text: text}
 	}
 	seconds, nanos := id.Time().UnixTime()
-	return Key{id: id, issued: time.Unix(seconds, nanos)}, nil
+	return Key{id: id, issuedAt: time.Unix(seconds, nanos)}, nil
 }
 
-// Expired reports whether the key is too old to be accepted, or from further
-// in the future than clocks differ.
+// Expired reports whether the key is older than MaxKeyAge or more than MaxClockSkew
+// in the future.
 func (k Key) Expired(now time.Time) bool {
-	age := now.Sub(k.issued)
-	return age > AcceptFor || age < -ClockSkew
+	age := now.Sub(k.issuedAt)
+	return age > MaxKeyAge || age < -MaxClockSkew
 }
 
-// Row returns the ledger's primary key: teams do not share keys.
-func (k Key) Row(team string) string { return team + "/" + k.id.String() }
+// RowKey returns the primary key of the ledger row. It includes the team, so that
+// teams may use the same key independently.
+func (k Key) RowKey(team string) string { return team + "/" + k.id.String() }
 
-// TrimBefore returns the age limit of ledger rows as the text that sorts
-// before every row that must stay.
-func TrimBefore(now time.Time) string {
-	return Stamp(now.Add(-AcceptFor - 2*ClockSkew))
+// TrimCutoff returns the timestamp before which ledger rows may be deleted.
+func TrimCutoff(now time.Time) string {
+	return FormatTimestamp(now.Add(-MaxKeyAge - 2*MaxClockSkew))
 }
 
-// stampFormat sorts as text in order of time.
-const stampFormat = "20060102T150405Z"
+// timestampFormat yields timestamps whose lexical order is their order in time.
+const timestampFormat = "20060102T150405Z"
 
-// Stamp returns the time column of a row.
-func Stamp(t time.Time) string { return t.UTC().Format(stampFormat) }
+// FormatTimestamp returns the value of the time column of a row.
+func FormatTimestamp(t time.Time) string { return t.UTC().Format(timestampFormat) }
 
-// Fingerprint identifies a request, so that a key that comes back with another
-// request is refused.
+// Fingerprint returns a digest of a request, which is stored to detect the reuse of a
+// key with a different request.
 func Fingerprint(frames []byte) string {
 	sum := sha256.Sum256(frames)
-	return hex.EncodeToString(sum[:16])
+	return hex.EncodeToString(sum[:fingerprintBytes])
 }
--- a/node/owner/keyed.go
+++ b/node/owner/keyed.go
@@ -27,7 +27,7 @@
 	if key.Expired(time.Now()) {
 		return upstream.Answer{}, request.Refused(outcome.Refuse(outcome.KeyExpired, ""))
 	}
-	k := keyedRun{ctx: ctx, conn: conn, row: key.Row(req.Team), fingerprint: ledger.Fingerprint(req.Frames)}
+	k := keyedRun{ctx: ctx, conn: conn, row: key.RowKey(req.Team), fingerprint: ledger.Fingerprint(req.Frames)}
 	answer, refusal := k.run(req.Frames)
 	if refusal != nil {
 		return upstream.Answer{}, request.Refused(refusal)
@@ -47,7 +47,7 @@
 func (k *keyedRun) run(frames []byte) (upstream.Answer, *outcome.Refusal) {
 	opened, err := k.query(fmt.Sprintf(
 		"BEGIN; INSERT INTO dotterelswitch_ledger (key, fingerprint, answer, created) VALUES (%s, %s, '', %s)",
-		upstream.Literal(k.row), upstream.Literal(k.fingerprint), upstream.Literal(ledger.Stamp(time.Now()))))
+		upstream.Literal(k.row), upstream.Literal(k.fingerprint), upstream.Literal(ledger.FormatTimestamp(time.Now()))))
 	if err != nil {
 		return opened, runRefusal(err, false)
 	}
@@ -64,9 +64,9 @@
 	if answer.ErrorCode != "" {
 		return k.rollback(answer)
 	}
-	if answer.TxStatus != 'T' || len(answer.Frames) > ledger.MaxAnswer {
+	if answer.TxStatus != 'T' || len(answer.Frames) > ledger.MaxAnswerBytes {
 		_, _ = k.rollback(answer)
-		return answer, outcome.Refuse(outcome.Unsupported, "a keyed request is one statement with an answer of at most %d bytes", ledger.MaxAnswer)
+		return answer, outcome.Refuse(outcome.Unsupported, "a keyed request is one statement with an answer of at most %d bytes", ledger.MaxAnswerBytes)
 	}
 	return k.commit(answer)
 }
--- a/node/owner/trim.go
+++ b/node/owner/trim.go
@@ -48,7 +48,7 @@
 		return refusal
 	}
 	defer h.pool.put(conn)
-	sql := "DELETE FROM dotterelswitch_ledger WHERE created < " + upstream.Literal(ledger.TrimBefore(now))
+	sql := "DELETE FROM dotterelswitch_ledger WHERE created < " + upstream.Literal(ledger.TrimCutoff(now))
 	frames, err := (&pgproto3.Query{String: sql}).Encode(nil)
 	if err != nil {
 		return err
