--- a/core/token/decode.go
+++ b/core/token/decode.go
@@ -14,7 +14,7 @@
 	if text == "" {
 		return Token{}, nil
 	}
-	if len(text) > MaxEncoded {
+	if len(text) > MaxEncodedBytes {
 		return Token{}, &DecodeError{Reason: "it is too long"}
 	}
 	raw, err := base64.RawURLEncoding.DecodeString(text)
@@ -81,7 +81,7 @@
 		return ""
 	}
 	n := int(r.rest[0])
-	if n == 0 || n > MaxServiceName || len(r.rest) < 1+n {
+	if n == 0 || n > MaxServiceNameBytes || len(r.rest) < 1+n {
 		r.failed = true
 		return ""
 	}
--- a/core/token/token.go
+++ b/core/token/token.go
@@ -21,10 +21,10 @@
 	// uses more gets an error: dropping a position would silently weaken its
 	// consistency.
 	MaxServices = 32
-	// MaxServiceName is the maximum length of a service name in bytes.
-	MaxServiceName = 63
-	// MaxEncoded is the maximum length of an encoded token in bytes.
-	MaxEncoded = 4096
+	// MaxServiceNameBytes is the maximum length of a service name.
+	MaxServiceNameBytes = 63
+	// MaxEncodedBytes is the maximum length of an encoded token.
+	MaxEncodedBytes = 4096
 )
 
 const checksumBytes = 4
@@ -46,7 +46,7 @@
 
 // Advance returns a token in which the position of service is at least p. The
 // receiver is not modified. The error is a *LimitError if the result would exceed
-// MaxServices or MaxServiceName.
+// MaxServices or MaxServiceNameBytes.
 func (t Token) Advance(service string, p logpos.Position) (Token, error) {
 	old, found := t.positions[service]
 	if found && !old.Less(p) {
@@ -55,8 +55,8 @@
 	if !found && len(t.positions) >= MaxServices {
 		return t, &LimitError{Unit: "services", Limit: MaxServices}
 	}
-	if len(service) == 0 || len(service) > MaxServiceName {
-		return t, &LimitError{Unit: "service name bytes", Limit: MaxServiceName}
+	if len(service) == 0 || len(service) > MaxServiceNameBytes {
+		return t, &LimitError{Unit: "service name bytes", Limit: MaxServiceNameBytes}
 	}
 	next := maps.Clone(t.positions)
 	if next == nil {
--- a/core/token/token_test.go
+++ b/core/token/token_test.go
@@ -31,7 +31,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		tok := randomToken(t)
 		text := tok.Encode()
-		require.LessOrEqual(t, len(text), token.MaxEncoded)
+		require.LessOrEqual(t, len(text), token.MaxEncodedBytes)
 		decoded, err := token.Decode(text)
 		require.NoError(t, err)
 		require.Equal(t, text, decoded.Encode())
@@ -83,7 +83,7 @@
 	_, err := tok.Advance("one-more", logpos.Position{Term: 1, Offset: 1})
 	require.ErrorAs(t, err, &limitErr)
 	var decodeErr *token.DecodeError
-	_, err = token.Decode(strings.Repeat("A", token.MaxEncoded+1))
+	_, err = token.Decode(strings.Repeat("A", token.MaxEncodedBytes+1))
 	require.ErrorAs(t, err, &decodeErr)
 }
 
