--- a/core/directory/directory.go
+++ b/core/directory/directory.go
@@ -1,11 +1,12 @@
-// Package directory decides which members of the database groups exist, from
-// entries that the members keep on the platform.
+// Package directory tracks which members of the database groups exist, from the entries
+// that the members write to the platform.
 //
-// An entry can vanish although its member lives: it lapses while the platform
-// is away and returns shortly after. So a lost entry only starts a grace
-// period; an entry that is still missing at its end is gone. And an entry can be
-// older than what is known: the platform may return from an older copy, or carry a
-// write out late. Members count what they say, so that the newest is known.
+// An entry can disappear although its member is alive: it expires while the platform is
+// unavailable and is written again shortly after. So a missing entry starts a grace
+// period, and the member is removed only if the entry is still missing at its end. An
+// entry can also be older than what is known: the platform may be restored from an
+// older copy or execute a write late. Members number their writes so that the newest
+// can be identified.
 package directory
 
 import (
@@ -16,107 +17,104 @@
 	"github.com/dotterelswitch/dotterelswitch/core/store"
 )
 
-// Entry is what a member says of itself.
+// Entry is what a member reports about itself.
 type Entry struct {
 	ID      string
 	Service string
 	Address string
 	Zone    string
-	// Primary is how the member sees its own role.
+	// Primary is set if the member considers itself the primary.
 	Primary bool
-	// Leaving is set once the member has announced its end.
+	// Leaving is set once the member has announced its shutdown.
 	Leaving bool
 	// Slots is how many statements the member runs at once.
 	Slots int
-	// ColdFor is how much longer the member is slow after its start.
-	ColdFor time.Duration
-	// StartedAt is when the member's present life began; zero where it does not
-	// tell. A member that starts again under its name has a later one.
+	// WarmUpLeft is how much longer the member is slow after its start.
+	WarmUpLeft time.Duration
+	// StartedAt identifies the member's incarnation; zero if the member does not report
+	// it. It increases when a member restarts under the same name.
 	StartedAt StartTime
-	// Sequence counts what the member has said in its present life.
+	// Sequence numbers the entries that the member has written in its incarnation.
 	Sequence uint64
-	// Revision is the version of the entry on the platform.
+	// Revision is the revision of the entry in the platform's store.
 	Revision store.Revision
 }
 
-// StartTime is the moment at which a member started, in Unix milliseconds of
-// its own clock. It tells the lives of a member apart; it is no clock to
-// compare with.
+// StartTime is the time at which a member started, in Unix milliseconds of its own
+// clock. It only distinguishes incarnations and must not be compared with other clocks.
 type StartTime uint64
 
-// Member is an entry and what the directory adds to it.
+// Member is an entry and the state that the directory adds to it.
 type Member struct {
 	Entry
-	// Missing is set during the grace period of a lost entry.
+	// Missing is set during the grace period of a missing entry.
 	Missing bool
-	// RoleRevision is the version in which the role last changed.
+	// RoleRevision is the revision in which the role last changed.
 	RoleRevision store.Revision
-	// LeavingSince is when Leaving was first seen; zero while it was not.
+	// LeavingSince is when Leaving was first seen; zero if it is not set.
 	LeavingSince time.Duration
-	lostAt       time.Duration
-	// doubtful is an earlier start time that an entry has named once.
-	doubtful StartTime
-	copied   copied
+	missingSince time.Duration
+	// disputedStart is an earlier start time that the last entry has reported.
+	disputedStart StartTime
+	restoredEntry restoredEntry
 }
 
-// SameLife reports whether two entries of a member are of one life. An entry
-// without a start time says nothing of a new one.
-func (e Entry) SameLife(other Entry) bool {
+// SameIncarnation reports whether two entries of a member may be of the same
+// incarnation. An entry without a start time does not indicate a new one.
+func (e Entry) SameIncarnation(other Entry) bool {
 	return e.StartedAt == other.StartedAt || e.StartedAt == 0 || other.StartedAt == 0
 }
 
-// Grace is how long a lost entry counts as missing. The platform's members are
-// back within two seconds of its return; half a second is for the way here.
-const Grace = 2500 * time.Millisecond
+// GracePeriod is how long a missing entry is tolerated. The platform's members write
+// again within two seconds of its return; half a second allows for delivery.
+const GracePeriod = 2500 * time.Millisecond
 
 // Directory is the set of members. It is not safe for concurrent use.
 type Directory struct {
 	members map[string]*Member
-	// gone holds the members that were dropped, so that a listing which was read
-	// before that does not bring them back.
-	gone map[string]*departure
+	// removed holds recently removed members, so that a listing read before the removal
+	// does not reinstate them.
+	removed map[string]*removal
 }
 
-// departure is when a member was dropped, the version of that news, and what it had
-// said last.
-type departure struct {
-	revision store.Revision
-	at       time.Duration
-	last     Entry
-	copied   copied
+// removal records when and at which revision a member was removed, and its last entry.
+type removal struct {
+	revision      store.Revision
+	at            time.Duration
+	last          Entry
+	restoredEntry restoredEntry
 }
 
-// rememberGone is how long a departure is kept: until the platform may have returned
-// from a copy that is some seconds old, and has found that the member does not write
-// to it.
-const rememberGone = time.Minute
+// removalRetention is how long a removal is remembered. It covers a restore of the
+// platform from a copy some seconds old that still contains the member's entry.
+const removalRetention = time.Minute
 
-// bringsBack reports whether an entry shows that a member that was dropped is there.
-// What it had said before, or less, does not.
-func (d *departure) bringsBack(e Entry) bool {
-	if e.Revision <= d.revision || d.copied.outdated(d.last, e) {
+// reinstatedBy reports whether an entry shows that a removed member exists again. An
+// entry that the member had written before its removal does not.
+func (r *removal) reinstatedBy(e Entry) bool {
+	if e.Revision <= r.revision || r.restoredEntry.outdated(r.last, e) {
 		return false
 	}
-	restored := e.Revision.Epoch() > d.revision.Epoch()
-	return !restored || !d.last.SameLife(e) || e.Sequence != d.last.Sequence
+	restored := e.Revision.Epoch() > r.revision.Epoch()
+	return !restored || !r.last.SameIncarnation(e) || e.Sequence != r.last.Sequence
 }
 
 // New returns an empty directory.
 func New() *Directory {
-	return &Directory{members: make(map[string]*Member), gone: make(map[string]*departure)}
+	return &Directory{members: make(map[string]*Member), removed: make(map[string]*removal)}
 }
 
-// Put takes an entry as it was written. It reports whether anything but the
-// revision and the count changed.
+// Put applies an entry that was written. It reports whether anything but the revision
+// and the sequence changed.
 func (d *Directory) Put(e Entry, now time.Duration) bool {
 	m, found := d.members[e.ID]
 	if !found {
 		return d.add(e, now)
 	}
-	if e.Revision < m.Revision || m.copied.outdated(m.Entry, e) || m.isOfEndedLife(e) {
+	if e.Revision < m.Revision || m.restoredEntry.outdated(m.Entry, e) || m.isFromEarlierIncarnation(e) {
 		return false
 	}
-	if !m.SameLife(e) {
+	if !m.SameIncarnation(e) {
 		d.members[e.ID] = newMember(e, now)
 		return true
 	}
@@ -126,51 +124,50 @@
 	if e.StartedAt == 0 {
 		e.StartedAt = m.StartedAt
 	}
-	m.doubtful = 0
+	m.disputedStart = 0
 	old := *m
-	m.Entry, m.Missing, m.lostAt = e, false, 0
-	m.noteLeaving(now)
-	old.Revision, old.RoleRevision, old.Sequence, old.copied = m.Revision, m.RoleRevision, m.Sequence, m.copied
+	m.Entry, m.Missing, m.missingSince = e, false, 0
+	m.updateLeavingSince(now)
+	old.Revision, old.RoleRevision, old.Sequence, old.restoredEntry = m.Revision, m.RoleRevision, m.Sequence, m.restoredEntry
 	return old != *m
 }
 
 func (d *Directory) add(e Entry, now time.Duration) bool {
-	if left, found := d.gone[e.ID]; found && !left.bringsBack(e) {
+	if previous, found := d.removed[e.ID]; found && !previous.reinstatedBy(e) {
 		return false
 	}
-	delete(d.gone, e.ID)
+	delete(d.removed, e.ID)
 	d.members[e.ID] = newMember(e, now)
 	return true
 }
 
-// newMember returns a member whose life begins with an entry.
+// newMember returns a member for the first entry of an incarnation.
 func newMember(e Entry, now time.Duration) *Member {
 	m := &Member{Entry: e, RoleRevision: e.Revision}
-	m.noteLeaving(now)
+	m.updateLeavingSince(now)
 	return m
 }
 
-// isOfEndedLife reports whether an entry was written by a life before the
-// present one. A write of an ended life may be carried out seconds late, and
-// would bring that life back until the next heartbeat. It comes once, so an
-// earlier start time that is written twice in a row is a member whose clock was
-// set back.
-func (m *Member) isOfEndedLife(e Entry) bool {
-	if e.StartedAt == 0 || e.StartedAt >= m.StartedAt || e.StartedAt == m.doubtful && e.Revision > m.Revision {
+// isFromEarlierIncarnation reports whether an entry was written by an earlier
+// incarnation. The store may execute such a write seconds late, and it must not replace
+// the current incarnation. That happens at most once, so a second entry in a row with
+// the same earlier start time comes from a member whose clock was set back.
+func (m *Member) isFromEarlierIncarnation(e Entry) bool {
+	if e.StartedAt == 0 || e.StartedAt >= m.StartedAt || e.StartedAt == m.disputedStart && e.Revision > m.Revision {
 		return false
 	}
-	m.doubtful, m.Revision = e.StartedAt, e.Revision
+	m.disputedStart, m.Revision = e.StartedAt, e.Revision
 	return true
 }
 
-// Doubted reports whether the newest entry of a member named an earlier start
-// time than the present life's; whether that holds, the next entry tells.
-func (d *Directory) Doubted(id string) bool {
+// StartTimeDisputed reports whether the newest entry of a member has an earlier start
+// time than the current incarnation. The next entry resolves that.
+func (d *Directory) StartTimeDisputed(id string) bool {
 	m, found := d.members[id]
-	return found && m.doubtful != 0
+	return found && m.disputedStart != 0
 }
 
-func (m *Member) noteLeaving(now time.Duration) {
+func (m *Member) updateLeavingSince(now time.Duration) {
 	if m.Leaving && m.LeavingSince == 0 {
 		m.LeavingSince = max(now, 1)
 	}
@@ -179,29 +176,29 @@
 	}
 }
 
-// Lose notes that an entry is not on the platform any more. A member that had
-// announced its end is gone at once.
-func (d *Directory) Lose(id string, revision store.Revision, now time.Duration) {
+// MarkMissing records that an entry is no longer on the platform. A member that was
+// leaving is removed immediately.
+func (d *Directory) MarkMissing(id string, revision store.Revision, now time.Duration) {
 	m, found := d.members[id]
 	if !found || revision < m.Revision {
 		return
 	}
 	if m.Leaving {
-		d.drop(id, revision, now)
+		d.remove(id, revision, now)
 		return
 	}
 	m.Revision = revision
 	if !m.Missing {
-		m.Missing, m.lostAt = true, now
+		m.Missing, m.missingSince = true, now
 	}
 }
 
-func (d *Directory) drop(id string, revision store.Revision, now time.Duration) {
-	d.gone[id] = &departure{revision: revision, at: now, last: d.members[id].Entry}
+func (d *Directory) remove(id string, revision store.Revision, now time.Duration) {
+	d.removed[id] = &removal{revision: revision, at: now, last: d.members[id].Entry}
 	delete(d.members, id)
 }
 
-// Replace takes a complete listing: entries that are not in it are lost.
+// Replace applies a complete listing: entries that are not in it are missing.
 func (d *Directory) Replace(entries []Entry, revision store.Revision, now time.Duration) {
 	listed := make(map[string]bool, len(entries))
 	for _, e := range entries {
@@ -210,30 +207,29 @@
 	}
 	for id := range d.members {
 		if !listed[id] {
-			d.Lose(id, revision, now)
+			d.MarkMissing(id, revision, now)
 		}
 	}
 }
 
-// Expire drops members whose entry stayed away past the grace period, and
-// returns them.
+// Expire removes the members whose grace period has ended, and returns them.
 func (d *Directory) Expire(now time.Duration) []Member {
-	var gone []Member
+	var removed []Member
 	for id, m := range d.members {
-		if m.Missing && now-m.lostAt >= Grace {
-			gone = append(gone, *m)
-			d.drop(id, m.Revision, now)
+		if m.Missing && now-m.missingSince >= GracePeriod {
+			removed = append(removed, *m)
+			d.remove(id, m.Revision, now)
 		}
 	}
-	for id, left := range d.gone {
-		if now-left.at >= rememberGone {
-			delete(d.gone, id)
+	for id, previous := range d.removed {
+		if now-previous.at >= removalRetention {
+			delete(d.removed, id)
 		}
 	}
-	return gone
+	return removed
 }
 
-// Members returns all members in order of their ids.
+// Members returns all members sorted by ID.
 func (d *Directory) Members() []Member {
 	out := make([]Member, 0, len(d.members))
 	for _, m := range d.members {
--- a/core/directory/restored_entry.go
+++ b/core/directory/restored_entry.go
@@ -2,31 +2,31 @@
 
 import "github.com/dotterelswitch/dotterelswitch/core/store"
 
-// copied is the entry of a member that the store's copy held after a restore. It
-// tells the copy's entry from one that the member has written since, for members
-// that do not say when they started: those count from one again in a new life, and
-// an entry with a lower count may be of either.
-type copied struct {
+// restoredEntry is the entry of a member that the store's copy held after a restore. It
+// distinguishes that entry from later writes of members that do not report a start
+// time: their sequence restarts at one, so an entry with a lower sequence may be
+// either.
+type restoredEntry struct {
 	epoch    store.Epoch
 	sequence uint64
 	found    bool
 }
 
-// outdated reports whether an entry says less than what is known of a member: it is
-// from an older copy of the store, or was written late.
-func (c *copied) outdated(known, e Entry) bool {
-	if e.Sequence >= known.Sequence || !known.SameLife(e) {
+// outdated reports whether an entry is older than the known one: it comes from a
+// restored copy of the store or was written late.
+func (r *restoredEntry) outdated(known, e Entry) bool {
+	if e.Sequence >= known.Sequence || !known.SameIncarnation(e) {
 		return false
 	}
 	if known.StartedAt != 0 && known.StartedAt == e.StartedAt {
 		return true
 	}
 	epoch := e.Revision.Epoch()
-	if c.found && c.epoch == epoch {
-		return e.Sequence == c.sequence
+	if r.found && r.epoch == epoch {
+		return e.Sequence == r.sequence
 	}
 	if epoch > known.Revision.Epoch() {
-		*c = copied{epoch: epoch, sequence: e.Sequence, found: true}
+		*r = restoredEntry{epoch: epoch, sequence: e.Sequence, found: true}
 		return true
 	}
 	return false
--- a/core/gates/fleet.go
+++ b/core/gates/fleet.go
@@ -4,32 +4,29 @@
 	"github.com/dotterelswitch/dotterelswitch/core/membership"
 )
 
-// Fleet is the living hosts, grouped by zone once for the plans of all services:
-// a member's gates are looked for among the hosts of its own zone first. All
-// shares of one host in 60 members of a fleet of 300 take 0.4 ms of processor
-// time, in place of 35 ms with a sort of the whole fleet for each member
-// (BenchmarkPlan). Every host works them out when it starts, and most have a
-// fifth of a core.
+// Fleet is the set of live hosts, grouped by zone once for the plans of all services,
+// so that the gates of a member are ranked among the hosts of its own zone first
+// instead of sorting the whole fleet for each member (BenchmarkPlan).
 type Fleet struct {
-	names   []string
-	byName  map[string]Host
-	byZone  map[string][]Host
-	regions map[string]string
-	// generation counts the changes since a first fleet; zero is a fleet of no
-	// known origin. change is the newest.
+	names        []string
+	byName       map[string]Host
+	byZone       map[string][]Host
+	regionByZone map[string]string
+	// generation counts the changes since the first fleet; zero means that the
+	// predecessor is unknown. change is the difference from the predecessor.
 	generation uint64
 	change     Change
 }
 
-// Change is what distinguishes a fleet from the one before it. A host that has
-// moved to another address has left and joined.
+// Change is the difference between a fleet and its predecessor. A host whose address
+// has changed is in both lists.
 type Change struct {
 	Joined, Left []Host
 }
 
-// NewFleet groups hosts. Regions maps zones to regions.
-func NewFleet(hosts []Host, regions map[string]string) Fleet {
-	f := Fleet{names: make([]string, 0, len(hosts)), byName: make(map[string]Host, len(hosts)), byZone: map[string][]Host{}, regions: regions}
+// NewFleet groups hosts by zone. Regions maps zones to regions.
+func NewFleet(hosts []Host, regionByZone map[string]string) Fleet {
+	f := Fleet{names: make([]string, 0, len(hosts)), byName: make(map[string]Host, len(hosts)), byZone: map[string][]Host{}, regionByZone: regionByZone}
 	for _, h := range hosts {
 		f.names = append(f.names, h.Name)
 		f.byName[h.Name] = h
@@ -38,10 +35,10 @@
 	return f
 }
 
-// Next returns the fleet that follows this one, so that who keeps something of
-// it can be told what has changed. It is this fleet where nothing has.
+// Next returns the fleet that succeeds this one, so that cached results can be updated
+// by the difference. It returns this fleet if nothing has changed.
 func (f Fleet) Next(hosts []Host) Fleet {
-	next := NewFleet(hosts, f.regions)
+	next := NewFleet(hosts, f.regionByZone)
 	change := Change{Joined: missingFrom(f, next), Left: missingFrom(next, f)}
 	if f.generation > 0 && len(change.Joined) == 0 && len(change.Left) == 0 {
 		return f
@@ -50,7 +47,7 @@
 	return next
 }
 
-// missingFrom returns the hosts of b that a does not have.
+// missingFrom returns the hosts of b that are not in a.
 func missingFrom(a, b Fleet) []Host {
 	var out []Host
 	for name, h := range b.byName {
@@ -61,12 +58,12 @@
 	return out
 }
 
-// Generation names the fleet among those that follow one another.
+// Generation identifies the fleet among its successors.
 func (f Fleet) Generation() uint64 { return f.generation }
 
-// Since returns what has changed since a generation. It reports false where that
-// is not known, and all has to be worked out anew.
-func (f Fleet) Since(generation uint64) (Change, bool) {
+// ChangeSince returns the change since a generation. It reports false if the change is
+// not known and cached results must be recomputed.
+func (f Fleet) ChangeSince(generation uint64) (Change, bool) {
 	switch {
 	case f.generation == 0 || generation == 0:
 		return Change{}, false
@@ -79,40 +76,42 @@
 	}
 }
 
-// Size returns how many hosts there are.
+// Size returns the number of hosts.
 func (f Fleet) Size() int { return len(f.names) }
 
-// Names returns the hosts' names, in no order. The caller does not change them.
+// Names returns the hosts' names in no particular order. The caller must not modify the
+// slice.
 func (f Fleet) Names() []string { return f.names }
 
 // The distances from a member's zone to a host's.
 const (
-	inZone = iota
-	inRegion
-	inOtherRegion
+	// The values of distance between two zones.
+	sameZone = iota
+	sameRegion
+	otherRegion
 )
 
-// nearest ranks the hosts that are to be a member's gates: those of its zone
-// first, then those of its region, each by rendezvous hashing.
-func (f Fleet) nearest(m Member, count int) *membership.Top {
-	top := membership.NewTop(m.ID, count)
+// nearestHosts ranks the hosts for the gates of a member: those of its zone first, then
+// those of its region, then the others, each by rendezvous hashing.
+func (f Fleet) nearestHosts(m Member, count int) *membership.TopHosts {
+	top := membership.NewTopHosts(m.ID, count)
 	found := 0
-	for d := inZone; d <= inOtherRegion && found < count; d++ {
+	for d := sameZone; d <= otherRegion && found < count; d++ {
 		for zone, hosts := range f.byZone {
 			if f.distance(zone, m.Zone) != d {
 				continue
 			}
 			found += len(hosts)
 			for _, h := range hosts {
-				top.Join(h.Name, d)
+				top.Add(h.Name, d)
 			}
 		}
 	}
 	return top
 }
 
-// called returns the hosts of these names.
-func (f Fleet) called(names []string) []Host {
+// hostsByName returns the hosts with the given names.
+func (f Fleet) hostsByName(names []string) []Host {
 	out := make([]Host, 0, len(names))
 	for _, name := range names {
 		out = append(out, f.byName[name])
@@ -123,17 +122,17 @@
 func (f Fleet) distance(a, b string) int {
 	switch {
 	case a == b:
-		return inZone
-	case f.regions[a] != "" && f.regions[a] == f.regions[b]:
-		return inRegion
+		return sameZone
+	case f.regionByZone[a] != "" && f.regionByZone[a] == f.regionByZone[b]:
+		return sameRegion
 	default:
-		return inOtherRegion
+		return otherRegion
 	}
 }
 
 func hostName(h Host) string { return h.Name }
 
-// Hosts returns the hosts, in no order.
+// Hosts returns the hosts in no particular order.
 func (f Fleet) Hosts() []Host {
 	out := make([]Host, 0, len(f.byName))
 	for _, h := range f.byName {
--- a/core/gates/plan.go
+++ b/core/gates/plan.go
@@ -1,11 +1,10 @@
-// Package gates decides which hosts keep the connections to a member.
+// Package gates decides which hosts hold the connections to a member.
 //
-// Load pattern: a member takes 16 to 176 connections, and 7 to 74 hosts want
-// some. Split evenly, a host's share is less than one transaction needs, while
-// another's idles; opened on demand, they are turned away or cost a member 12
-// to 27 ms of a slot each. So a few hosts, the member's gates, share its
-// connections, and the other hosts send their statements to one of them. Where
-// there is enough for every host, every host is a gate.
+// A member accepts far fewer connections than a fleet would use. Divided evenly among
+// all hosts, some hosts would have less than one connection while those of others are
+// idle, and opening connections on demand is expensive for the member. So a few hosts,
+// the member's gates, share its connections, and the other hosts send their statements
+// to a gate. If there are enough connections, every host is a gate.
 package gates
 
 import (
@@ -14,36 +13,30 @@
 )
 
 const (
-	// perGate is the least share of connections that makes a host a gate: the
-	// transactions that arrive together at one of several gates on a busy day.
-	perGate = 7
-	// perSlot is the most connections that the gates open for each slot of a
-	// member. Load pattern: a member that takes 176 connections has 6 slots and a
-	// queue of a few dozen statements. While its group's replicas are behind, all
-	// that its gates could send at once exceeds that queue, and it turns more
-	// statements away than it runs. Eleven let it work, fill its queue, and leave
-	// room for transactions that rest between their statements; with nine, a member
-	// of 3 slots and 31 connections has three gates in place of four, and its
-	// callers lose a third of their ways to it with each that is lost. What is more
-	// waits at the gates, where it has an order.
-	// The connections left over also serve a fleet that has lost power, as
-	// members keep the dead ones for seconds.
-	perSlot = 11
-	// returnPerSlot is how many connections for each slot of a member its gates do not
-	// keep for teams. Load pattern: all hosts lose power, and the member holds their dead
-	// connections for seconds. Those left over are all that the hosts that come back
-	// can open: one that runs, one that waits and one that is being opened keep a slot
-	// at work.
-	returnPerSlot = 3
-	// strayConnections is how many connections a host that is no gate may open
-	// while it reaches none.
-	strayConnections = 2
-	// maxWaiting bounds the statements that wait for one member, a host. It is
-	// a second of work of one slot; what waits longer is late anyway.
+	// minConnectionsPerGate is the minimum number of connections per gate, sized for
+	// the transactions that arrive at one gate at the same time under load.
+	minConnectionsPerGate = 7
+	// maxConnectionsPerSlot bounds the connections that the gates use at once for each
+	// slot of a member. More would exceed the member's queue while its replicas lag,
+	// and it would reject the excess; further statements wait in order at the gates
+	// instead. Fewer would leave a small member with fewer gates to fail over to. The
+	// remaining connections also serve hosts that restart after a power failure, while
+	// the member still holds dead connections.
+	maxConnectionsPerSlot = 11
+	// reservedPerSlot is the number of connections per slot that gates do not pool for
+	// teams. After a power failure a member holds dead connections for seconds, and
+	// these are all that the restarted hosts can open: one that runs, one that waits
+	// and one that is being opened keep a slot busy.
+	reservedPerSlot = 3
+	// maxDirectConnections is how many connections a host that is not a gate may open
+	// while it reaches no gate.
+	maxDirectConnections = 2
+	// maxWaiting bounds the statements that wait for one member on one host: about a
+	// second of work of one slot.
 	maxWaiting = 64
 )
 
-// Host is one living host.
+// Host is a live host.
 type Host struct {
 	Name string
 	Zone string
@@ -51,21 +44,22 @@
 	Address string
 }
 
-// Member is one upstream that connections are divided of.
+// Member is an upstream whose connections are shared.
 type Member struct {
 	ID   string
 	Zone string
-	// Slots is how many statements it runs at once; zero where that is not known.
+	// Slots is how many statements it runs at once; zero if unknown.
 	Slots int
 }
 
-// Share is what one host has to do with one member.
+// Share is the part of one host in the connections of one member.
 type Share struct {
 	Limits connpool.Limits
-	// Gates are where to send statements, the best first; none for a gate.
-	Gates []string
-	// All are the gates of the member, this host included if it is one.
-	All []Host
+	// GateAddresses are where to send statements, in order of preference; empty on a
+	// gate.
+	GateAddresses []string
+	// GateHosts are the gates of the member, including this host if it is one.
+	GateHosts []Host
 }
 
 // Plan divides the connections of the members of one service.
@@ -74,78 +68,78 @@
 	usable int
 }
 
-// NewPlan returns a plan for members that take the given number of connections.
+// NewPlan returns a plan for members that accept the given number of connections.
 func NewPlan(fleet Fleet, connections int) Plan {
 	return Plan{fleet: fleet, usable: max(connections, 1)}
 }
 
-// useful returns how many connections the gates of a member share.
-func (p Plan) useful(m Member) int {
+// activeConnections returns how many connections the gates of a member use at once.
+func (p Plan) activeConnections(m Member) int {
 	if m.Slots <= 0 {
 		return p.usable
 	}
-	return min(p.usable, perSlot*m.Slots)
+	return min(p.usable, maxConnectionsPerSlot*m.Slots)
 }
 
-// kept returns how many connections the gates of a member keep where they belong
-// to different teams: all but those that are left over for a fleet that comes back
-// from a loss of power.
-func (p Plan) kept(m Member) int { return max(p.useful(m), p.usable-returnPerSlot*m.Slots) }
+// pooledConnections returns how many connections the gates of a member pool for
+// different teams: all but those reserved for hosts that restart after a power failure.
+func (p Plan) pooledConnections(m Member) int {
+	return max(p.activeConnections(m), p.usable-reservedPerSlot*m.Slots)
+}
 
-// Even returns the share of a host where every host keeps connections of its own.
-func (p Plan) Even() Share {
+// EvenShare returns a host's share if every host has connections of its own.
+func (p Plan) EvenShare() Share {
 	each := max(p.usable/max(p.fleet.Size(), 1), 1)
-	return keeping(each, each)
+	return gateShare(each, each)
 }
 
-// keeping returns the share of a host that keeps connections of its own, of which
-// some run something at once.
-func keeping(connections, busy int) Share {
-	return Share{Limits: connpool.Limits{Max: connections, Busy: busy, Fair: connections, MaxWaiting: maxWaiting}}
+// gateShare returns the share of a host with connections of its own, of which up to
+// maxBusy run statements at once.
+func gateShare(connections, maxBusy int) Share {
+	return Share{Limits: connpool.Limits{Max: connections, Busy: maxBusy, Fair: connections, MaxWaiting: maxWaiting}}
 }
 
 // For returns the share of the named host in a member.
 func (p Plan) For(m Member, host string) Share {
-	return p.share(m, host, p.fleet.nearest(m, p.gateCount(m)))
+	return p.share(m, host, p.fleet.nearestHosts(m, p.gateCount(m)))
 }
 
 // gateCount returns how many gates a member has.
 func (p Plan) gateCount(m Member) int {
-	return min(max(p.useful(m)/perGate, 1), p.fleet.Size())
+	return min(max(p.activeConnections(m)/minConnectionsPerGate, 1), p.fleet.Size())
 }
 
-// share returns the share of the named host in a member whose gates are known.
-func (p Plan) share(m Member, host string, top *membership.Top) Share {
-	useful := p.useful(m)
+// share returns the share of the named host in a member with the given gates.
+func (p Plan) share(m Member, host string, top *membership.TopHosts) Share {
+	activeConnections := p.activeConnections(m)
 	count := top.Size()
 	if count == 0 {
-		return Share{Limits: connpool.Limits{Max: useful, Fair: 1, MaxWaiting: maxWaiting}}
+		return Share{Limits: connpool.Limits{Max: activeConnections, Fair: 1, MaxWaiting: maxWaiting}}
 	}
-	each := max(useful/count, 1)
-	chosen := p.fleet.called(top.Names())
+	each := max(activeConnections/count, 1)
+	chosen := p.fleet.hostsByName(top.Names())
 	if top.Contains(host) {
-		share := keeping(max(p.kept(m)/count, each), each)
-		share.All = chosen
+		share := gateShare(max(p.pooledConnections(m)/count, each), each)
+		share.GateHosts = chosen
 		return share
 	}
 	return Share{
-		Limits: connpool.Limits{Max: min(strayConnections, each), MaxWaiting: maxWaiting},
-		Gates:  addresses(chosen, m.ID, host), All: chosen,
+		Limits:        connpool.Limits{Max: min(maxDirectConnections, each), MaxWaiting: maxWaiting},
+		GateAddresses: rankedAddresses(chosen, m.ID, host), GateHosts: chosen,
 	}
 }
 
-// RouteOf returns where one host sends a team's statements for a member, the best
-// first; none for the host itself, which also comes after the gates that it ranks
-// behind.
+// RouteOf returns the addresses to which one host sends a team's statements for a
+// member, in order of preference. It ends where the host itself ranks, and is empty if
+// the host comes first.
 //
-// Load pattern: a connection serves one team, and there are more teams than a
-// member takes connections. Where each gate serves every team, each keeps a
-// connection for the same few of them; where a team's statements meet at one
-// gate, the gates together keep connections for several times as many. A gate
-// that is lost moves only its own teams.
+// A connection serves one team, and there may be more teams than connections. Sending
+// all statements of a team to the same gate lets the gates together pool connections
+// for more teams than if each served every team. Losing a gate moves only its own
+// teams.
 func (s Share) RouteOf(team, member, host string) []string {
-	out := make([]string, 0, len(s.All))
-	for _, h := range membership.RankBy(member+"\x00"+team, s.All, hostName) {
+	out := make([]string, 0, len(s.GateHosts))
+	for _, h := range membership.RankBy(member+"\x00"+team, s.GateHosts, hostName) {
 		if h.Name == host {
 			break
 		}
@@ -154,9 +148,9 @@
 	return out
 }
 
-// addresses orders a member's gates for one host, so that the hosts that are
-// no gates spread over them.
-func addresses(chosen []Host, member, host string) []string {
+// rankedAddresses orders a member's gates for one host, so that the hosts that are not
+// gates spread over them.
+func rankedAddresses(chosen []Host, member, host string) []string {
 	out := make([]string, 0, len(chosen))
 	for _, h := range membership.RankBy(member+"\x00"+host, chosen, hostName) {
 		out = append(out, h.Address)
--- a/core/gates/plan_bench_test.go
+++ b/core/gates/plan_bench_test.go
@@ -7,10 +7,8 @@
 	"github.com/dotterelswitch/dotterelswitch/core/gates"
 )
 
-// BenchmarkPlan divides the connections of all members of a deployment for one
-// host, which a host does when it starts. With a sort of all hosts for each
-// member: 0.44, 35 and 1057 ms; with a sort of the member's zone 0.03, 0.94 and
-// 19.5 ms; with the few best kept in order 0.05, 0.39 and 5.7 ms.
+// BenchmarkPlan computes one host's shares in all members of a deployment, as a host
+// does at its start.
 func BenchmarkPlan(b *testing.B) {
 	for _, size := range []struct{ hosts, services int }{{30, 4}, {300, 20}, {5000, 20}} {
 		b.Run(fmt.Sprintf("%d hosts, %d services", size.hosts, size.services), func(b *testing.B) {
@@ -25,8 +23,8 @@
 	}
 }
 
-// sixZones returns hosts spread over six zones of three regions, and the
-// regions of the zones.
+// sixZones returns hosts spread over six zones in three regions, and the zones'
+// regions.
 func sixZones(count int) ([]gates.Host, map[string]string) {
 	regionOf := map[string]string{}
 	var hosts []gates.Host
@@ -38,15 +36,14 @@
 	return hosts, regionOf
 }
 
-// BenchmarkShares has one host leave and come back, and asks for the shares in
-// all members after each. With every member ranked anew at each change: 0.08, 1.7
-// and 1,750 ms; now 0.05, 0.29 and 8.4 ms.
+// BenchmarkShares has one host leave and rejoin, and computes the shares in all members
+// after each change.
 func BenchmarkShares(b *testing.B) {
 	for _, size := range []struct{ hosts, services int }{{30, 4}, {300, 20}, {5000, 1000}} {
 		b.Run(fmt.Sprintf("%d hosts, %d services", size.hosts, size.services), func(b *testing.B) {
 			hosts, zones := sixZones(size.hosts)
 			fleet := gates.NewFleet(nil, zones).Next(hosts)
-			shares := gates.NewShares(hosts[0].Name)
+			shares := gates.NewShareCache(hosts[0].Name)
 			askAll := func(f gates.Fleet) {
 				plan := gates.NewPlan(f, 87)
 				for m := range 3 * size.services {
--- a/core/gates/plan_test.go
+++ b/core/gates/plan_test.go
@@ -23,23 +23,23 @@
 	return out
 }
 
-// TestFewConnectionsMakeFewGates replays the small archive: 15 connections for
-// 9 hosts leave less than two for each.
+// TestFewConnectionsMakeFewGates divides 15 connections among 9 hosts: less than two
+// per host.
 func TestFewConnectionsMakeFewGates(t *testing.T) {
 	hosts := fleet("a1", "a1", "a1", "a1", "a2", "a2", "a2", "b1", "b1")
 	plan := gates.NewPlan(gates.NewFleet(hosts, regions), 15)
 	isGate := 0
 	for _, h := range hosts {
 		s := plan.For(gates.Member{ID: "m", Zone: "a2"}, h.Name)
-		if len(s.Gates) == 0 {
+		if len(s.GateAddresses) == 0 {
 			isGate++
-			require.Equal(t, "a2", h.Zone, "gates are near the member")
+			require.Equal(t, "a2", h.Zone, "gates are in the zone of the member")
 			require.Equal(t, 7, s.Limits.Max)
 			continue
 		}
-		require.Len(t, s.Gates, 2)
+		require.Len(t, s.GateAddresses, 2)
 		require.Equal(t, 2, s.Limits.Max)
-		require.Zero(t, s.Limits.Fair, "stray connections are closed at once")
+		require.Zero(t, s.Limits.Fair, "idle connections of a host that is not a gate are closed")
 	}
 	require.Equal(t, 2, isGate)
 }
@@ -49,19 +49,19 @@
 	plan := gates.NewPlan(gates.NewFleet(hosts, regions), 54)
 	for _, h := range hosts {
 		s := plan.For(gates.Member{ID: "m", Zone: "a1"}, h.Name)
-		require.Empty(t, s.Gates)
+		require.Empty(t, s.GateAddresses)
 		require.Equal(t, 18, s.Limits.Max)
 	}
 }
 
-func TestAHostAloneKeepsAll(t *testing.T) {
-	require.Empty(t, gates.NewPlan(gates.NewFleet(nil, nil), 15).For(gates.Member{ID: "m", Zone: "a1"}, "h").Gates)
+func TestSingleHostKeepsAllConnections(t *testing.T) {
+	require.Empty(t, gates.NewPlan(gates.NewFleet(nil, nil), 15).For(gates.Member{ID: "m", Zone: "a1"}, "h").GateAddresses)
 	require.Equal(t, 15, gates.NewPlan(gates.NewFleet(nil, nil), 15).For(gates.Member{ID: "m", Zone: "a1"}, "h").Limits.Max)
 }
 
-// TestSharesNeverExceedTheMember: whatever the fleet, the gates together open
-// no more than there is, and all hosts agree who they are.
-func TestSharesNeverExceedTheMember(t *testing.T) {
+// TestSharesNeverExceedTheMemberLimit checks random fleets: the gates together open no
+// more connections than the member accepts, and all hosts agree on the gates.
+func TestSharesNeverExceedTheMemberLimit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		zones := rapid.SliceOfN(rapid.SampledFrom([]string{"a1", "a2", "b1"}), 1, 40).Draw(t, "zones")
 		hosts := fleet(zones...)
@@ -71,12 +71,12 @@
 		named := map[string]bool{}
 		for _, h := range hosts {
 			s := plan.For(gates.Member{ID: "m", Zone: "a1"}, h.Name)
-			if len(s.Gates) == 0 {
+			if len(s.GateAddresses) == 0 {
 				sum += s.Limits.Max
 				gateCount++
 				continue
 			}
-			for _, address := range s.Gates {
+			for _, address := range s.GateAddresses {
 				named[address] = true
 			}
 		}
@@ -84,26 +84,27 @@
 			t.Fatalf("%d gates open %d of %d connections", gateCount, sum, connections)
 		}
 		if len(named) > 0 && len(named) != gateCount {
-			t.Fatalf("%d gates, but hosts send to %d", gateCount, len(named))
+			t.Fatalf("%d gates, but the other hosts send to %d", gateCount, len(named))
 		}
 	})
 }
 
-// TestFleetChangeMovesLittle: one host that leaves moves no gate but its own.
-func TestFleetChangeMovesLittle(t *testing.T) {
+// TestHostThatLeavesMovesNoOtherGate checks that the remaining gates stay gates when
+// one host leaves.
+func TestHostThatLeavesMovesNoOtherGate(t *testing.T) {
 	hosts := fleet("a1", "a1", "a1", "a1", "a1", "a1")
 	before := gates.NewPlan(gates.NewFleet(hosts, regions), 15)
 	after := gates.NewPlan(gates.NewFleet(hosts[1:], regions), 15)
 	for _, h := range hosts[1:] {
-		if len(before.For(gates.Member{ID: "m", Zone: "a1"}, h.Name).Gates) == 0 {
-			require.Empty(t, after.For(gates.Member{ID: "m", Zone: "a1"}, h.Name).Gates, "a gate stays one")
+		if len(before.For(gates.Member{ID: "m", Zone: "a1"}, h.Name).GateAddresses) == 0 {
+			require.Empty(t, after.For(gates.Member{ID: "m", Zone: "a1"}, h.Name).GateAddresses, "a gate stays a gate")
 		}
 	}
 }
 
-// TestGatesSendNoMoreThanAMemberQueues replays the grown booking platform: 175
-// connections for 74 hosts, to a member with 6 slots. All of them at once would
-// be turned away for the most part.
+// TestGatesSendNoMoreThanAMemberQueues guards against gates that use all 175
+// connections of a member with 6 slots at once: the member would reject most of the
+// statements.
 func TestGatesSendNoMoreThanAMemberQueues(t *testing.T) {
 	var zones []string
 	for range 74 {
@@ -113,33 +114,34 @@
 	plan := gates.NewPlan(gates.NewFleet(hosts, regions), 175)
 	sum := 0
 	for _, h := range hosts {
-		if s := plan.For(gates.Member{ID: "m", Zone: "a1", Slots: 6}, h.Name); len(s.Gates) == 0 {
+		if s := plan.For(gates.Member{ID: "m", Zone: "a1", Slots: 6}, h.Name); len(s.GateAddresses) == 0 {
 			sum += s.Limits.Busy
 		}
 	}
 	require.LessOrEqual(t, sum, 66)
-	require.GreaterOrEqual(t, sum, 60, "a member is kept at work")
+	require.GreaterOrEqual(t, sum, 60, "the member's slots are kept busy")
 }
 
-// TestConnectionsAreLeftForAFleetThatReturns: of 33 connections of a member with two
-// slots, the gates keep 27 for teams and use 22 at once.
-func TestConnectionsAreLeftForAFleetThatReturns(t *testing.T) {
+// TestConnectionsAreReservedForRestartingFleet checks that of 33 connections of a
+// member with two slots the gates pool 27 and use 22 at once.
+func TestConnectionsAreReservedForRestartingFleet(t *testing.T) {
 	hosts := fleet("a1", "a1", "a1", "a1", "a2", "a2", "b1", "b1")
 	plan := gates.NewPlan(gates.NewFleet(hosts, regions), 33)
-	kept, busy := 0, 0
+	pooled, busy := 0, 0
 	for _, h := range hosts {
-		if s := plan.For(gates.Member{ID: "m", Zone: "a1", Slots: 2}, h.Name); len(s.Gates) == 0 {
-			kept += s.Limits.Max
+		if s := plan.For(gates.Member{ID: "m", Zone: "a1", Slots: 2}, h.Name); len(s.GateAddresses) == 0 {
+			pooled += s.Limits.Max
 			busy += s.Limits.Busy
 		}
 	}
-	require.Equal(t, 27, kept)
+	require.Equal(t, 27, pooled)
 	require.LessOrEqual(t, busy, 22)
 }
 
-// TestTeamMeetsAtOneGate: all hosts send a team's statements to the same gate, teams
-// spread over the gates, and a gate that is lost moves only its own teams.
-func TestTeamMeetsAtOneGate(t *testing.T) {
+// TestTeamIsRoutedToOneGate checks that all hosts send a team's statements to the same
+// gate, that teams spread over the gates, and that losing a gate moves only its own
+// teams.
+func TestTeamIsRoutedToOneGate(t *testing.T) {
 	hosts := fleet("a1", "a1", "a1", "a1", "a2", "a2", "b1", "b1")
 	m := gates.Member{ID: "m", Zone: "a1", Slots: 2}
 	gateOf := func(hosts []gates.Host, team string) string {
@@ -152,7 +154,7 @@
 				first = route[0]
 			}
 			if gate != "" && gate != first {
-				t.Fatalf("team %s meets at %s and at %s", team, gate, first)
+				t.Fatalf("team %s is routed to %s and to %s", team, gate, first)
 			}
 			gate = first
 		}
@@ -167,16 +169,16 @@
 	}
 	require.Len(t, used, 3)
 	lost := before["team-0"]
-	var left []gates.Host
+	var remaining []gates.Host
 	for _, h := range hosts {
 		if h.Address != lost {
-			left = append(left, h)
+			remaining = append(remaining, h)
 		}
 	}
 	for team, gate := range before {
-		after := gateOf(left, team)
+		after := gateOf(remaining, team)
 		if gate != lost && after != gate && used[after] > 0 {
-			t.Fatalf("team %s has moved from %s to %s, which both stay", team, gate, after)
+			t.Fatalf("team %s moved from %s to %s, although both gates remain", team, gate, after)
 		}
 	}
 }
--- a/core/gates/share_cache.go
+++ b/core/gates/share_cache.go
@@ -2,56 +2,53 @@
 
 import "github.com/dotterelswitch/dotterelswitch/core/membership"
 
-// Shares are one host's shares in the members of a service, kept from one fleet
-// to the next.
-//
-// Load pattern: hosts restart all day, and members' entries change more often
-// still, while every host has a share in every member. Only what a change
-// concerns is worked out again (BenchmarkShares): one restart among 5,000 hosts
-// before 3,000 members takes 8 ms of processor time, in place of 1,750 ms. It is
-// not safe for concurrent use.
-type Shares struct {
+// ShareCache caches one host's shares in the members of a service. When the fleet
+// changes, only the shares that the change affects are recomputed (BenchmarkShares). It
+// is not safe for concurrent use.
+type ShareCache struct {
 	host string
-	// generation is that of the fleet which the rankings tell of.
+	// generation is that of the fleet for which the rankings were computed.
 	generation uint64
-	byMember   map[string]*kept
+	byMember   map[string]*cachedShare
 }
 
-// kept is what is kept of one member.
-type kept struct {
+// cachedShare is the cached share in one member and the inputs it was computed from.
+type cachedShare struct {
 	member Member
-	// usable is how many connections the member took.
+	// usable is how many connections the member accepted.
 	usable int
-	top    *membership.Top
+	top    *membership.TopHosts
 	share  Share
-	// current tells that share follows from the rest.
-	current bool
+	// valid is set if share is up to date with the other fields.
+	valid bool
 }
 
-// NewShares returns the shares of a host in no members.
-func NewShares(host string) *Shares { return &Shares{host: host, byMember: map[string]*kept{}} }
+// NewShareCache returns an empty cache for a host.
+func NewShareCache(host string) *ShareCache {
+	return &ShareCache{host: host, byMember: map[string]*cachedShare{}}
+}
 
-// For returns the share in a member, as the plan gives it.
-func (s *Shares) For(p Plan, m Member) Share {
-	s.follow(p.fleet)
-	k, found := s.byMember[m.ID]
-	if !found || k.member.Zone != m.Zone || k.top.Stale() || k.top.Size() != p.gateCount(m) {
-		k = &kept{top: p.fleet.nearest(m, p.gateCount(m))}
-		s.byMember[m.ID] = k
+// For returns the host's share in a member, equal to that of the plan.
+func (s *ShareCache) For(p Plan, m Member) Share {
+	s.update(p.fleet)
+	c, found := s.byMember[m.ID]
+	if !found || c.member.Zone != m.Zone || c.top.Stale() || c.top.Size() != p.gateCount(m) {
+		c = &cachedShare{top: p.fleet.nearestHosts(m, p.gateCount(m))}
+		s.byMember[m.ID] = c
 	}
-	if !k.current || k.member != m || k.usable != p.usable {
-		k.member, k.usable = m, p.usable
-		k.share, k.current = p.share(m, s.host, k.top), true
+	if !c.valid || c.member != m || c.usable != p.usable {
+		c.member, c.usable = m, p.usable
+		c.share, c.valid = p.share(m, s.host, c.top), true
 	}
-	return k.share
+	return c.share
 }
 
-// Forget drops a member that is gone.
-func (s *Shares) Forget(member string) { delete(s.byMember, member) }
+// Forget removes a member that no longer exists.
+func (s *ShareCache) Forget(member string) { delete(s.byMember, member) }
 
-// follow brings the rankings in step with a fleet.
-func (s *Shares) follow(f Fleet) {
-	change, known := f.Since(s.generation)
+// update applies the changes of a fleet to the rankings.
+func (s *ShareCache) update(f Fleet) {
+	change, known := f.ChangeSince(s.generation)
 	s.generation = f.generation
 	if !known {
 		clear(s.byMember)
@@ -60,20 +57,20 @@
 	if len(change.Joined) == 0 && len(change.Left) == 0 {
 		return
 	}
-	for _, k := range s.byMember {
-		k.follow(change, f)
+	for _, c := range s.byMember {
+		c.update(change, f)
 	}
 }
 
-func (k *kept) follow(change Change, f Fleet) {
+func (c *cachedShare) update(change Change, f Fleet) {
 	for _, h := range change.Left {
-		if k.top.Leave(h.Name) {
-			k.current = false
+		if c.top.Remove(h.Name) {
+			c.valid = false
 		}
 	}
 	for _, h := range change.Joined {
-		if k.top.Join(h.Name, f.distance(h.Zone, k.member.Zone)) {
-			k.current = false
+		if c.top.Add(h.Name, f.distance(h.Zone, c.member.Zone)) {
+			c.valid = false
 		}
 	}
 }
--- a/core/membership/host.go
+++ b/core/membership/host.go
@@ -1,16 +1,16 @@
-// Package membership tells a host which other hosts are alive. Hosts learn of
-// each other from the platform's lagging list and correct it by direct probes
-// and by rumours carried on those probes, in the manner of SWIM (Das, Gupta
-// and Motivala, 2002). The rate per host does not depend on the fleet's size.
-// Nothing that must be agreed rests on membership: hosts that disagree only
-// send work to a host that refuses it.
+// Package membership tracks which other hosts are alive. Hosts learn of each other from
+// the platform's list, which lags, and correct it by direct probes and by rumours
+// piggybacked on those probes, as in SWIM (Das, Gupta and Motivala, 2002). The message
+// rate per host does not depend on the fleet's size. No decision that requires
+// agreement depends on membership: hosts that disagree only send work to a host that
+// refuses it.
 package membership
 
-// State is what is believed of a host. Larger states win within one
-// incarnation.
+// State is the state that a host is believed to be in. Within one incarnation the
+// higher state takes precedence.
 type State uint8
 
-// The states of a host.
+// The states of a host, in ascending order of precedence.
 const (
 	Alive State = iota
 	Suspect
@@ -27,19 +27,19 @@
 	return "invalid"
 }
 
-// Host is one entry host of the system.
+// Host describes a host of the fleet.
 type Host struct {
 	ID   string
 	Zone string
 	// Peer is the address for calls between hosts.
 	Peer string
-	// Incarnation grows with each start of the process under the same ID, and
-	// when a live host refutes a suspicion.
+	// Incarnation increases with each start of the process under the same ID, and when
+	// a live host refutes a suspicion.
 	Incarnation uint64
 	State       State
 }
 
-// supersedes reports whether h is newer knowledge than old.
+// supersedes reports whether h is newer information than old.
 func (h Host) supersedes(old Host) bool {
 	if h.Incarnation != old.Incarnation {
 		return h.Incarnation > old.Incarnation
--- a/core/membership/membership_test.go
+++ b/core/membership/membership_test.go
@@ -26,25 +26,25 @@
 	return out
 }
 
-// TestOwnerMovesOnlyItsShare removes one host: only the members that it owned
-// get another owner.
-func TestOwnerMovesOnlyItsShare(t *testing.T) {
+// TestRemovedHostMovesOnlyItsMembers checks that removing a host changes the owner only
+// of the members that it owned.
+func TestRemovedHostMovesOnlyItsMembers(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		hosts := fleet(rapid.IntRange(2, 40).Draw(t, "hosts"))
-		gone := rapid.IntRange(0, len(hosts)-1).Draw(t, "gone")
-		left := append(append([]membership.Host{}, hosts[:gone]...), hosts[gone+1:]...)
+		removed := rapid.IntRange(0, len(hosts)-1).Draw(t, "removed")
+		remaining := append(append([]membership.Host{}, hosts[:removed]...), hosts[removed+1:]...)
 		for m := range 60 {
 			member, zone := fmt.Sprintf("m%d", m), fmt.Sprintf("z%d", m%3)
 			before, _ := membership.NewPlacement(hosts).Owner(member, zone)
-			after, _ := membership.NewPlacement(left).Owner(member, zone)
-			if before.ID != hosts[gone].ID {
+			after, _ := membership.NewPlacement(remaining).Owner(member, zone)
+			if before.ID != hosts[removed].ID {
 				require.Equal(t, before, after)
 			}
 		}
 	})
 }
 
-// rosters is a small fleet whose members ping each other.
+// rosters is a small fleet of hosts that probe each other.
 type rosters []*membership.Roster
 
 func newRosters(n int) rosters {
@@ -67,7 +67,7 @@
 // ping exchanges rumours between two hosts, as the protocol does.
 func ping(from, to *membership.Roster, now time.Duration) {
 	deliver := func(a, b *membership.Roster) {
-		b.Heard(a.Self(), now)
+		b.ConfirmAlive(a.Self(), now)
 		for _, h := range a.TakeRumours() {
 			b.Merge(h, now)
 		}
@@ -79,7 +79,7 @@
 	deliver(to, from)
 }
 
-// round lets every host probe once; reach says who can talk to whom.
+// round lets every host probe once; reach reports whether two hosts can communicate.
 func (rs rosters) round(now time.Duration, reach func(a, b string) bool) {
 	for _, r := range rs {
 		r.Tick(now)
@@ -98,8 +98,8 @@
 
 const period = 200 * time.Millisecond
 
-// TestFleetLearnsAndHeals joins a fleet through one seed, cuts a part off and
-// heals the cut: all believe the right hosts to serve each time.
+// TestFleetLearnsAndHeals starts a fleet from one seed host, partitions it and heals
+// the partition: all hosts must agree on the serving hosts after each step.
 func TestFleetLearnsAndHeals(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		rs := newRosters(rapid.IntRange(3, 12).Draw(t, "hosts"))
@@ -118,29 +118,29 @@
 		for _, r := range rs {
 			require.Len(t, r.Serving(), len(rs))
 		}
-		cut := rapid.IntRange(1, len(rs)-1).Draw(t, "cut")
+		split := rapid.IntRange(1, len(rs)-1).Draw(t, "split")
 		side := func(id string) bool {
 			var i int
 			_, _ = fmt.Sscanf(id, "h%d", &i)
-			return i < cut
+			return i < split
 		}
 		run(func(a, b string) bool { return side(a) == side(b) })
 		for i, r := range rs {
-			want := cut
-			if i >= cut {
-				want = len(rs) - cut
+			want := split
+			if i >= split {
+				want = len(rs) - split
 			}
 			require.Len(t, r.Serving(), want)
 		}
 		run(all)
 		for _, r := range rs {
-			require.Len(t, r.Serving(), len(rs), "after the cut healed")
+			require.Len(t, r.Serving(), len(rs), "after the partition healed")
 		}
 	})
 }
 
-// TestRestartUnderTheSameID checks that old rumours do not touch a new
-// incarnation, and that a leaving host gets no new work.
+// TestRestartUnderTheSameID checks that old rumours do not affect a new incarnation,
+// and that a leaving host gets no new work.
 func TestRestartUnderTheSameID(t *testing.T) {
 	r := membership.NewRoster(host(0), membership.DefaultTiming(), 1)
 	old := host(1)
@@ -149,7 +149,7 @@
 	require.Len(t, r.Serving(), 1)
 	restarted := old
 	restarted.Incarnation = 9
-	r.Heard(restarted, 2)
+	r.ConfirmAlive(restarted, 2)
 	r.ProbeFailed(old.ID, old.Incarnation, 3)
 	r.Merge(membership.Host{ID: old.ID, Incarnation: 1, State: membership.Dead}, 4)
 	require.Len(t, r.Serving(), 2)
@@ -159,16 +159,16 @@
 	require.Len(t, r.Reachable(), 2)
 }
 
-// TestMissingFromTheListIsNotDead covers the lag of the platform's list.
-func TestMissingFromTheListIsNotDead(t *testing.T) {
+// TestHostMissingFromTheListIsNotDead covers the lag of the platform's list.
+func TestHostMissingFromTheListIsNotDead(t *testing.T) {
 	r := membership.NewRoster(host(0), membership.DefaultTiming(), 1)
 	r.Merge(host(1), 0)
 	r.MergeList([]membership.Host{host(2)}, 1)
 	require.Len(t, r.Serving(), 3)
 }
 
-// TestRumoursPerMessageAreBounded checks that a message's size does not grow
-// with the fleet.
+// TestRumoursPerMessageAreBounded checks that the size of a message does not grow with
+// the fleet.
 func TestRumoursPerMessageAreBounded(t *testing.T) {
 	r := membership.NewRoster(host(0), membership.DefaultTiming(), 1)
 	for i := 1; i < 500; i++ {
--- a/core/membership/rendezvous.go
+++ b/core/membership/rendezvous.go
@@ -8,8 +8,8 @@
 )
 
 // Score is the weight of a host for a key in rendezvous hashing (Thaler and
-// Ravishankar, 1998): the key belongs to the host with the highest score, so
-// a host that joins or leaves moves only the keys it gains or held.
+// Ravishankar, 1998). A key belongs to the host with the highest score, so a host that
+// joins or leaves moves only its own keys.
 func Score(key, host string) uint64 {
 	d := xxhash.New()
 	_, _ = d.WriteString(key)
@@ -18,8 +18,8 @@
 	return d.Sum64()
 }
 
-// best returns the host with the highest score for a key.
-func best(key string, hosts []Host) (Host, bool) {
+// highestScore returns the host with the highest score for a key.
+func highestScore(key string, hosts []Host) (Host, bool) {
 	var top Host
 	var topScore uint64
 	for i, h := range hosts {
@@ -30,14 +30,13 @@
 	return top, len(hosts) > 0
 }
 
-// Ranked returns all hosts in falling order of score for a key.
+// Ranked returns the hosts in descending order of score for a key.
 func Ranked(key string, hosts []Host) []Host {
 	return RankBy(key, hosts, func(h Host) string { return h.ID })
 }
 
-// RankBy returns items in falling order of score for a key, by the name of each.
-// Every item is scored once: a sort that asks for the score at each comparison
-// hashes each of 300 hosts 16 times.
+// RankBy returns the items in descending order of score for a key, identified by name.
+// It computes each score once, not at every comparison of the sort.
 func RankBy[T any](key string, items []T, name func(T) string) []T {
 	type scored struct {
 		score uint64
--- a/core/membership/roster.go
+++ b/core/membership/roster.go
@@ -8,24 +8,24 @@
 	"time"
 )
 
-// spreadFactor times the binary logarithm of the fleet is how often a host
-// passes one rumour on.
-const spreadFactor = 3
+// retransmitFactor times the binary logarithm of the fleet size is the number of
+// messages on which a host sends a rumour.
+const retransmitFactor = 3
 
-// maxRumours bounds the rumours on one message.
-const maxRumours = 8
+// maxRumoursPerMessage bounds the rumours on one message.
+const maxRumoursPerMessage = 8
 
-// Roster is one host's view of the others. It is not safe for concurrent use.
+// Roster is one host's view of the fleet. It is not safe for concurrent use.
 type Roster struct {
-	self    Host
-	timing  Timing
-	rng     *rand.Rand
-	hosts   map[string]*record
-	order   []string
-	cursor  int
-	probes  int
-	rumours []rumour
-	// generation grows with every visible change.
+	self       Host
+	timing     Timing
+	rng        *rand.Rand
+	hosts      map[string]*record
+	probeOrder []string
+	nextProbe  int
+	probeCount int
+	rumours    []rumour
+	// generation increases with every change that Generation reports.
 	generation uint64
 }
 
@@ -35,13 +35,13 @@
 	since time.Duration
 }
 
-// rumour is a change that is still being passed on.
+// rumour is a change that is still being disseminated.
 type rumour struct {
-	id   string
-	left int
+	id        string
+	sendsLeft int
 }
 
-// NewRoster returns a roster that knows only self.
+// NewRoster returns a roster that contains only self.
 func NewRoster(self Host, timing Timing, seed uint64) *Roster {
 	r := &Roster{
 		self:   self,
@@ -53,13 +53,13 @@
 	return r
 }
 
-// Self returns this host as it describes itself to others.
+// Self returns this host's own description.
 func (r *Roster) Self() Host { return r.self }
 
-// Generation grows with every change of the hosts that Live or Serving return.
+// Generation increases with every change of the hosts that Serving returns.
 func (r *Roster) Generation() uint64 { return r.generation }
 
-// Host returns what is known of one host.
+// Host returns what is known of a host.
 func (r *Roster) Host(id string) (Host, bool) {
 	rec, found := r.hosts[id]
 	if !found {
@@ -68,17 +68,17 @@
 	return rec.host, true
 }
 
-// Serving returns the hosts that may be given new work, in order of ID.
+// Serving returns the hosts that may be given new work, sorted by ID.
 func (r *Roster) Serving() []Host {
 	return r.filter(func(s State) bool { return s == Alive || s == Suspect })
 }
 
-// Dead returns the hosts believed dead that are still remembered.
+// Dead returns the dead hosts that are still remembered.
 func (r *Roster) Dead() []Host {
 	return r.filter(func(s State) bool { return s == Dead })
 }
 
-// Reachable returns the hosts believed to run, those that leave included.
+// Reachable returns the hosts believed to be running, including those that are leaving.
 func (r *Roster) Reachable() []Host {
 	return r.filter(func(s State) bool { return s != Dead })
 }
@@ -94,7 +94,7 @@
 	return out
 }
 
-// Merge takes knowledge of a host from a rumour, a probe or the host itself.
+// Merge applies information about a host from a rumour, a probe or the host itself.
 func (r *Roster) Merge(h Host, now time.Duration) {
 	if h.ID == r.self.ID {
 		r.refute(h, now)
@@ -111,25 +111,25 @@
 	}
 	rec.host, rec.since = h, now
 	r.generation++
-	r.spread(h.ID)
+	r.enqueueRumour(h.ID)
 }
 
-// MergeList takes the platform's list. The list lags, so it adds hosts and
-// announces departures, but a host missing from it is not dead for that.
+// MergeList applies the platform's list. The list lags, so a host that is missing from
+// it is not considered dead.
 func (r *Roster) MergeList(list []Host, now time.Duration) {
 	for _, h := range list {
 		r.Merge(h, now)
 	}
 }
 
-// refute raises this host's incarnation when others believe worse of it.
+// refute raises this host's incarnation if others believe it to be in a worse state.
 func (r *Roster) refute(h Host, now time.Duration) {
 	if !h.supersedes(r.self) {
 		return
 	}
 	r.self.Incarnation = max(h.Incarnation, r.self.Incarnation) + 1
 	r.hosts[r.self.ID] = &record{host: r.self, since: now}
-	r.spread(r.self.ID)
+	r.enqueueRumour(r.self.ID)
 }
 
 // Leave marks this host as leaving.
@@ -137,10 +137,10 @@
 	r.self.State = Leaving
 	r.hosts[r.self.ID] = &record{host: r.self, since: now}
 	r.generation++
-	r.spread(r.self.ID)
+	r.enqueueRumour(r.self.ID)
 }
 
-// ProbeFailed takes a direct probe or call that had no answer.
+// ProbeFailed records a probe or call that was not answered.
 func (r *Roster) ProbeFailed(id string, incarnation uint64, now time.Duration) {
 	rec, found := r.hosts[id]
 	if !found || rec.host.Incarnation != incarnation || rec.host.State != Alive {
@@ -151,8 +151,8 @@
 	r.Merge(h, now)
 }
 
-// ProbeRefused takes a direct probe that the host's machine refused: the
-// process of that incarnation is gone, and no suspicion has to pass first.
+// ProbeRefused records a probe that was actively refused by the host's machine: the
+// process of that incarnation is gone, so it is dead without a suspicion period.
 func (r *Roster) ProbeRefused(id string, incarnation uint64, now time.Duration) {
 	rec, found := r.hosts[id]
 	if !found || rec.host.Incarnation != incarnation {
@@ -163,8 +163,8 @@
 	r.Merge(h, now)
 }
 
-// Heard takes a direct answer from a host, which proves that it runs.
-func (r *Roster) Heard(h Host, now time.Duration) {
+// ConfirmAlive records a direct message from a host, which ends a suspicion.
+func (r *Roster) ConfirmAlive(h Host, now time.Duration) {
 	rec, found := r.hosts[h.ID]
 	if found && rec.host.Incarnation == h.Incarnation && rec.host.State == Suspect {
 		rec.host, rec.since = h, now
@@ -173,19 +173,19 @@
 	r.Merge(h, now)
 }
 
-// Tick ends suspicions and forgets hosts that died long ago.
+// Tick ends suspicions that have timed out and forgets hosts that died long ago.
 func (r *Roster) Tick(now time.Duration) {
 	for id, rec := range r.hosts {
 		age := now - rec.since
 		switch rec.host.State {
 		case Suspect:
-			if age >= r.timing.SuspectFor {
+			if age >= r.timing.SuspicionTimeout {
 				h := rec.host
 				h.State = Dead
 				r.Merge(h, now)
 			}
 		case Dead:
-			if age >= r.timing.ForgetAfter {
+			if age >= r.timing.DeadRetention {
 				r.forget(id)
 			}
 		}
@@ -194,31 +194,31 @@
 
 func (r *Roster) forget(id string) {
 	delete(r.hosts, id)
-	if i := slices.Index(r.order, id); i >= 0 {
-		r.order = slices.Delete(r.order, i, i+1)
+	if i := slices.Index(r.probeOrder, id); i >= 0 {
+		r.probeOrder = slices.Delete(r.probeOrder, i, i+1)
 	}
 }
 
-// deadProbeEvery is how often a probe goes to a host believed dead, so that two
-// sides of a healed partition find each other again.
-const deadProbeEvery = 4
+// deadProbeInterval makes every n-th probe go to a dead host, so that the two sides of
+// a healed partition find each other again.
+const deadProbeInterval = 4
 
-// NextProbe returns the host to probe next. Targets are taken in a shuffled
-// round, which bounds the time until each is probed.
+// NextProbe returns the host to probe next. Targets are taken round-robin in shuffled
+// order, which bounds the time until each host is probed.
 func (r *Roster) NextProbe() (Host, bool) {
-	r.probes++
-	if r.probes%deadProbeEvery == 0 {
+	r.probeCount++
+	if r.probeCount%deadProbeInterval == 0 {
 		if dead := r.Dead(); len(dead) > 0 {
 			return dead[r.rng.IntN(len(dead))], true
 		}
 	}
-	for range len(r.order) {
-		if r.cursor >= len(r.order) {
-			r.cursor = 0
-			r.rng.Shuffle(len(r.order), func(i, j int) { r.order[i], r.order[j] = r.order[j], r.order[i] })
+	for range len(r.probeOrder) {
+		if r.nextProbe >= len(r.probeOrder) {
+			r.nextProbe = 0
+			r.rng.Shuffle(len(r.probeOrder), func(i, j int) { r.probeOrder[i], r.probeOrder[j] = r.probeOrder[j], r.probeOrder[i] })
 		}
-		h := r.hosts[r.order[r.cursor]].host
-		r.cursor++
+		h := r.hosts[r.probeOrder[r.nextProbe]].host
+		r.nextProbe++
 		if h.State != Dead {
 			return h, true
 		}
@@ -227,28 +227,28 @@
 }
 
 func (r *Roster) insertProbeTarget(id string) {
-	at := r.rng.IntN(len(r.order) + 1)
-	r.order = slices.Insert(r.order, at, id)
+	at := r.rng.IntN(len(r.probeOrder) + 1)
+	r.probeOrder = slices.Insert(r.probeOrder, at, id)
 }
 
-// spread queues a rumour, in place of an older one about the same host.
-func (r *Roster) spread(id string) {
+// enqueueRumour queues a rumour and replaces an older one about the same host.
+func (r *Roster) enqueueRumour(id string) {
 	r.rumours = slices.DeleteFunc(r.rumours, func(x rumour) bool { return x.id == id })
-	r.rumours = append(r.rumours, rumour{id: id, left: spreadFactor * bits.Len(uint(len(r.hosts)))})
+	r.rumours = append(r.rumours, rumour{id: id, sendsLeft: retransmitFactor * bits.Len(uint(len(r.hosts)))})
 }
 
-// TakeRumours returns the changes to send with the next message.
+// TakeRumours returns the rumours to send with the next message.
 func (r *Roster) TakeRumours() []Host {
-	n := min(len(r.rumours), maxRumours)
+	n := min(len(r.rumours), maxRumoursPerMessage)
 	out := make([]Host, 0, n)
 	for i := range n {
 		if rec, found := r.hosts[r.rumours[i].id]; found {
 			out = append(out, rec.host)
 		}
-		r.rumours[i].left--
+		r.rumours[i].sendsLeft--
 	}
 	sent := slices.Clone(r.rumours[:n])
 	r.rumours = append(r.rumours[n:], sent...)
-	r.rumours = slices.DeleteFunc(r.rumours, func(x rumour) bool { return x.left <= 0 })
+	r.rumours = slices.DeleteFunc(r.rumours, func(x rumour) bool { return x.sendsLeft <= 0 })
 	return out
 }
--- a/core/membership/scale_test.go
+++ b/core/membership/scale_test.go
@@ -23,8 +23,8 @@
 	return r
 }
 
-// BenchmarkChange measures one restart that a host learns of, with the new
-// list of serving hosts.
+// BenchmarkChange measures the merge of one restarted host and the new list of serving
+// hosts.
 func BenchmarkChange(b *testing.B) {
 	for _, n := range fleetSizes {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
@@ -53,7 +53,7 @@
 	}
 }
 
-// BenchmarkOwner measures the choice of one member's owner.
+// BenchmarkOwner measures the lookup of one member's owner.
 func BenchmarkOwner(b *testing.B) {
 	for _, n := range fleetSizes {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
@@ -65,7 +65,7 @@
 	}
 }
 
-// BenchmarkRosterMemory reports the heap that each known host takes.
+// BenchmarkRosterMemory reports the heap size per known host.
 func BenchmarkRosterMemory(b *testing.B) {
 	for _, n := range fleetSizes {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
@@ -86,20 +86,20 @@
 	return m.HeapAlloc
 }
 
-// BenchmarkSpread counts the probe periods until a new configuration version
-// has reached the whole fleet, when two hosts of each of 31 zones begin with it
-// and every probe tells both sides. Each host probes in rounds of its own.
+// BenchmarkSpread counts the probe periods until a new configuration version has
+// reached the whole fleet, starting from two hosts in each of 31 zones. Every probe
+// informs both sides, and each host probes in an order of its own.
 func BenchmarkSpread(b *testing.B) {
 	for _, n := range fleetSizes {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			for b.Loop() {
-				b.ReportMetric(float64(spread(n)), "periods")
+				b.ReportMetric(float64(periodsToSpread(n)), "periods")
 			}
 		})
 	}
 }
 
-func spread(n int) int {
+func periodsToSpread(n int) int {
 	const relays = 62
 	rng := rand.New(rand.NewPCG(1, uint64(n)))
 	orders := make([][]int, n)
@@ -108,16 +108,16 @@
 		orders[i] = rng.Perm(n)
 		knows[i] = i < relays
 	}
-	left := n - relays
+	remaining := n - relays
 	for period := 0; ; period++ {
-		if left == 0 {
+		if remaining == 0 {
 			return period
 		}
 		for i := range n {
 			j := orders[i][period%n]
 			if knows[i] != knows[j] {
 				knows[i], knows[j] = true, true
-				left--
+				remaining--
 			}
 		}
 	}
--- a/core/membership/timing.go
+++ b/core/membership/timing.go
@@ -2,38 +2,37 @@
 
 import "time"
 
-// Timing holds the delays of failure detection between hosts.
+// Timing holds the intervals and timeouts of failure detection between hosts.
 type Timing struct {
 	// ProbePeriod is the interval between two probes by one host.
 	ProbePeriod time.Duration
-	// SuspectFor is how long a suspected host may refute before it is
-	// believed dead.
-	SuspectFor time.Duration
-	// ForgetAfter is how long a dead host is remembered, so that old rumours
-	// do not bring it back.
-	ForgetAfter time.Duration
+	// SuspicionTimeout is how long a suspected host may refute before it is considered
+	// dead.
+	SuspicionTimeout time.Duration
+	// DeadRetention is how long a dead host is remembered, so that old rumours do not
+	// revive it.
+	DeadRetention time.Duration
 }
 
-// smallFleet is the number of hosts up to which probes may be frequent.
-const smallFleet = 32
+// smallFleetHosts is the fleet size up to which hosts probe at the shortest interval.
+const smallFleetHosts = 32
 
-// Period returns the interval between probes for a fleet of the given size. A
-// small fleet finds failures sooner; in a large one the rumours about others'
-// failures make most of the traffic, and probes give way to them.
-func (t Timing) Period(hosts int) time.Duration {
+// ProbePeriodFor returns the probe interval for a fleet of the given size. In a large
+// fleet most of the traffic is rumours about failures, so hosts probe less often.
+func (t Timing) ProbePeriodFor(hosts int) time.Duration {
 	const largeFleetFactor = 5
-	if hosts <= smallFleet {
+	if hosts <= smallFleetHosts {
 		return t.ProbePeriod
 	}
 	return t.ProbePeriod * largeFleetFactor / 2
 }
 
-// DefaultTiming returns the delays for a fleet of up to a few hundred hosts
-// in each availability zone.
+// DefaultTiming returns the timing for a fleet of up to a few hundred hosts per
+// availability zone.
 func DefaultTiming() Timing {
 	return Timing{
-		ProbePeriod: 200 * time.Millisecond,
-		SuspectFor:  600 * time.Millisecond,
-		ForgetAfter: 10 * time.Minute,
+		ProbePeriod:      200 * time.Millisecond,
+		SuspicionTimeout: 600 * time.Millisecond,
+		DeadRetention:    10 * time.Minute,
 	}
 }
--- a/core/membership/top_hosts_test.go
+++ b/core/membership/top_hosts_test.go
@@ -11,37 +11,37 @@
 	"github.com/dotterelswitch/dotterelswitch/core/membership"
 )
 
-// TestTopFollowsTheFleet: whatever joins and leaves, a top that is not stale
-// holds the hosts that a sort of the whole fleet puts first.
-func TestTopFollowsTheFleet(t *testing.T) {
+// TestTopHostsMatchFullSort adds and removes random hosts: unless stale, the set must
+// match a sort of the whole fleet.
+func TestTopHostsMatchFullSort(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		size := rapid.IntRange(0, 4).Draw(t, "size")
 		live := map[string]bool{}
-		top := membership.NewTop("key", size)
+		top := membership.NewTopHosts("key", size)
 		for range rapid.IntRange(1, 40).Draw(t, "steps") {
 			name := fmt.Sprint("host-", rapid.IntRange(0, 11).Draw(t, "host"))
 			if live[name] {
 				delete(live, name)
-				top.Leave(name)
+				top.Remove(name)
 			} else {
 				live[name] = true
-				top.Join(name, tierOf(name))
+				top.Add(name, tierOf(name))
 			}
 			want := sortedTop("key", live, size)
 			if top.Stale() {
-				top = membership.NewTop("key", size)
+				top = membership.NewTopHosts("key", size)
 				for other := range live {
-					top.Join(other, tierOf(other))
+					top.Add(other, tierOf(other))
 				}
 			}
 			if !slices.Equal(want, top.Names()) {
-				t.Fatalf("of %v the first %d are %v, not %v", live, size, want, top.Names())
+				t.Fatalf("of hosts %v the top %d are %v, got %v", live, size, want, top.Names())
 			}
 		}
 	})
 }
 
-// tierOf puts a third of the hosts into each of three tiers.
+// tierOf assigns a host to one of three tiers.
 func tierOf(name string) int { return int(name[len(name)-1]) % 3 }
 
 func sortedTop(key string, live map[string]bool, size int) []string {
@@ -54,12 +54,12 @@
 	return append([]string{}, ranked[:min(size, len(ranked))]...)
 }
 
-// TestOneWhoIsNotOfTheTopMovesNothing replays a restart somewhere in a large
-// fleet: nearly always it concerns none of the few hosts of a key.
-func TestOneWhoIsNotOfTheTopMovesNothing(t *testing.T) {
-	top := membership.NewTop("key", 3)
+// TestHostOutsideTheTopChangesNothing checks that a restart of a host that is not among
+// the top hosts of a key does not change them.
+func TestHostOutsideTheTopChangesNothing(t *testing.T) {
+	top := membership.NewTopHosts("key", 3)
 	for i := range 300 {
-		top.Join(fmt.Sprint("host-", i), 0)
+		top.Add(fmt.Sprint("host-", i), 0)
 	}
 	before := top.Names()
 	for i := range 300 {
@@ -67,8 +67,8 @@
 		if slices.Contains(before, name) {
 			continue
 		}
-		require.False(t, top.Leave(name))
-		require.False(t, top.Join(name, 0))
+		require.False(t, top.Remove(name))
+		require.False(t, top.Add(name, 0))
 	}
 	require.Equal(t, before, top.Names())
 	require.False(t, top.Stale())
--- a/core/relay/cycle_test.go
+++ b/core/relay/cycle_test.go
@@ -13,10 +13,9 @@
 
 func TestMain(m *testing.M) { fixedseed.Main(m) }
 
-// TestNoHostFollowsItself replays a fleet that starts: each host has listed the
-// others that had registered by then, itself perhaps not among them, and some have
-// lost a relay since. Whoever hosts follow, each way ends at one that watches the
-// store.
+// TestNoHostFollowsItself guards against cycles of relays: hosts see different subsets
+// of the fleet, perhaps without themselves, and some have lost relays. Every chain of
+// relays must end at a host that watches the store.
 func TestNoHostFollowsItself(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		fleet := fleetOf(1, 40)
@@ -31,7 +30,7 @@
 			r := relay.New(h)
 			for range rapid.IntRange(0, 2).Draw(t, "lost") {
 				if first, found := r.Pick(seen, 0); found {
-					r.Failed(first.Name, false, 0)
+					r.MarkFailed(first.Name, false, 0)
 				}
 			}
 			if next, found := r.Pick(seen, 0); found {
@@ -39,10 +38,10 @@
 			}
 		}
 		for _, h := range fleet {
-			at := h.Name
-			for steps := 0; follows[at] != ""; steps++ {
-				require.Less(t, steps, len(fleet), "hosts follow each other in a circle")
-				at = follows[at]
+			current := h.Name
+			for steps := 0; follows[current] != ""; steps++ {
+				require.Less(t, steps, len(fleet), "hosts follow each other in a cycle")
+				current = follows[current]
 			}
 		}
 	})
--- a/core/relay/selector.go
+++ b/core/relay/selector.go
@@ -1,11 +1,10 @@
-// Package relay decides which hosts follow the platform's store themselves and
-// which hear of its changes from another host.
+// Package relay decides which hosts watch the platform's store themselves and which
+// receive its changes from another host.
 //
-// Load pattern: every call to the store is paid for and counted against one rate
-// for the whole fleet, and a change is answered to each watch that waits. A
-// watch a host makes both grow with the fleet. So in a large fleet one host of
-// each zone watches and the others of the zone follow it; a zone that is cut off
-// from the rest keeps its own watch.
+// Calls to the store are expensive and rate-limited for the whole fleet, and every
+// change is sent to each watch, so one watch per host does not scale. In a large fleet
+// one host of each zone, the relay, watches the store and the others of the zone follow
+// it. A zone that is cut off from the others keeps its own watch.
 package relay
 
 import (
@@ -18,110 +17,104 @@
 )
 
 const (
-	// SmallFleet is how many hosts may all watch the store: with less than three
-	// hosts a zone a relay saves little, and its loss costs time.
-	SmallFleet = 16
-	// Beat is how often a relay gives a sign of life, and SilentAfter how long
-	// one may be missed. With a listing after it, a change is still in force well
-	// within the shortest bound of a deployment, 3 s.
-	Beat        = 400 * time.Millisecond
-	SilentAfter = 1200 * time.Millisecond
-	// StaleAfter is how much longer than one watch the store may leave a relay
-	// without an answer. Its followers may reach a store that it does not.
-	StaleAfter = 500 * time.Millisecond
-	// AvoidSilent is how long a relay is passed over that was silent or could not be
-	// reached: a dead one is off the list of hosts after the 6 s of its lease.
-	AvoidSilent = 8 * time.Second
-	// AvoidRefusing is how long one is passed over that has said itself that it does
-	// not relay at present: it stops, and is soon off the list, or the store is away
-	// from it. Load pattern: all hosts are restarted in turn just after a cut. With 8
-	// s here too, 130 of 295 hosts had neither relay of their zone left and watched
-	// the store themselves: 2,741 calls in five seconds.
-	AvoidRefusing = 2 * time.Second
-	// inTurn is how many hosts of a zone are tried as relays before a host watches
-	// the store itself. Load pattern: the store turns a third of the hosts away, a
-	// relay among them, and its followers would all watch the store: 98 hosts made
-	// 1,985 calls in twenty seconds, and 1,570 with two in turn. Not more than two,
-	// so that a change is still in force within 3 s if both are silent: each is given
-	// up after SilentAfter.
-	inTurn = 2
-	// Settle is the wait before the next relay is followed, up to twice as long
-	// by chance: it has lost the first one at the same moment, and needs a moment to
-	// watch the store itself. Its followers do not come all at once.
-	Settle = 50 * time.Millisecond
+	// MaxFleetWithoutRelays is the number of hosts up to which all hosts watch the
+	// store. With fewer than three hosts per zone a relay saves few calls, and its
+	// failure delays changes.
+	MaxFleetWithoutRelays = 16
+	// HeartbeatInterval is how often a relay sends a heartbeat, and HeartbeatTimeout
+	// how long a follower waits for one. They are short enough that a change takes
+	// effect within 3 s even if a relay fails and the store must be listed again.
+	HeartbeatInterval = 400 * time.Millisecond
+	HeartbeatTimeout  = 1200 * time.Millisecond
+	// StoreAnswerGrace is how much longer than one watch a relay may be without an
+	// answer of the store. After that its followers look for another source, as they
+	// may reach a store that the relay does not.
+	StoreAnswerGrace = 500 * time.Millisecond
+	// RetryAfterTimeout is how long a relay that timed out or was unreachable is
+	// skipped. A dead host disappears from the list of hosts when its lease of 6 s
+	// expires.
+	RetryAfterTimeout = 8 * time.Second
+	// RetryAfterRefusal is how long a relay that refused to relay is skipped: it is
+	// stopping or has no connection to the store. The delay is short because hosts that
+	// find no relay load the store with watches of their own.
+	RetryAfterRefusal = 2 * time.Second
+	// maxCandidates is how many hosts of a zone are tried as relays before a host
+	// watches the store itself. A second candidate keeps the followers of a failed
+	// relay off the store. More would delay a change beyond 3 s, as each may take
+	// HeartbeatTimeout to fail.
+	maxCandidates = 2
+	// FailoverDelay is the minimum delay before the next relay is followed, with up to
+	// as much random jitter. The next relay loses the first one at the same time and
+	// needs time to start its own watch; the jitter spreads the followers.
+	FailoverDelay = 50 * time.Millisecond
 )
 
-// Relays is one host's choice of whom to follow. It is not safe for concurrent
-// use.
-type Relays struct {
-	// self is the host that chooses.
+// Selector selects the relay that one host follows. It is not safe for concurrent use.
+type Selector struct {
 	self gates.Host
-	// avoided maps hosts that failed as relays to when they may be tried again.
-	avoided map[string]time.Duration
+	// retryAt maps hosts that failed as relays to the time when they may be tried
+	// again.
+	retryAt map[string]time.Duration
 }
 
-// New returns the choice of a host.
-func New(self gates.Host) *Relays {
-	return &Relays{self: self, avoided: map[string]time.Duration{}}
+// New returns the selector of a host.
+func New(self gates.Host) *Selector {
+	return &Selector{self: self, retryAt: map[string]time.Duration{}}
 }
 
-// Pick returns the host to follow; it returns false when this host watches the
-// store itself. Of each zone the host with the highest score is the relay, and the
-// one after it for those that have lost the first.
-func (r *Relays) Pick(fleet []gates.Host, now time.Duration) (gates.Host, bool) {
-	if len(fleet) <= SmallFleet {
+// Pick returns the host to follow, or false if this host must watch the store itself.
+// The candidates of a zone are tried in order of their scores.
+func (s *Selector) Pick(fleet []gates.Host, now time.Duration) (gates.Host, bool) {
+	if len(fleet) <= MaxFleetWithoutRelays {
 		return gates.Host{}, false
 	}
-	for _, h := range r.turns(fleet) {
-		if h.Name == r.self.Name {
+	for _, h := range s.candidates(fleet) {
+		if h.Name == s.self.Name {
 			return gates.Host{}, false
 		}
-		if now >= r.avoided[h.Name] {
+		if now >= s.retryAt[h.Name] {
 			return h, true
 		}
 	}
 	return gates.Host{}, false
 }
 
-// turns returns the hosts of the zone that are tried as relays, in their order.
-// This host always counts, registered or not: it follows only hosts that go before
-// it, so that however much the hosts' pictures of the fleet differ, none follows
-// itself by way of others.
-func (r *Relays) turns(fleet []gates.Host) []gates.Host {
-	out := []gates.Host{r.self}
+// candidates returns the hosts of the zone that may be relays, in order of preference.
+// This host always takes part in the ranking, registered or not, and follows only hosts
+// that rank before it. That prevents cycles even if hosts see different fleets.
+func (s *Selector) candidates(fleet []gates.Host) []gates.Host {
+	out := []gates.Host{s.self}
 	for _, h := range fleet {
-		if h.Zone != r.self.Zone || h.Name == r.self.Name {
+		if h.Zone != s.self.Zone || h.Name == s.self.Name {
 			continue
 		}
-		at, _ := slices.BinarySearchFunc(out, h, precedes)
-		if at < inTurn {
+		at, _ := slices.BinarySearchFunc(out, h, compareRank)
+		if at < maxCandidates {
 			out = slices.Insert(out, at, h)
-			out = out[:min(len(out), inTurn)]
+			out = out[:min(len(out), maxCandidates)]
 		}
 	}
 	return out
 }
 
-// precedes orders the hosts of a zone.
-func precedes(a, b gates.Host) int {
+// compareRank orders the hosts of a zone by descending score.
+func compareRank(a, b gates.Host) int {
 	return cmp.Or(
 		cmp.Compare(membership.Score(b.Zone, b.Name), membership.Score(a.Zone, a.Name)),
 		cmp.Compare(a.Name, b.Name),
 	)
 }
 
-// Failed has a relay passed over for a while. Refused tells that it has said itself
-// that it does not relay.
-func (r *Relays) Failed(host string, refused bool, now time.Duration) {
-	r.avoided[host] = now + AvoidSilent
+// MarkFailed skips a relay for a while. Refused is set if the relay itself refused.
+func (s *Selector) MarkFailed(host string, refused bool, now time.Duration) {
+	s.retryAt[host] = now + RetryAfterTimeout
 	if refused {
-		r.avoided[host] = now + AvoidRefusing
+		s.retryAt[host] = now + RetryAfterRefusal
 	}
 }
 
-// Serves reports whether this host is one that others of its zone may follow, or
-// in a small fleet watches the store like all others. One that is neither watches
-// the store only while it has no relay.
-func (r *Relays) Serves(fleet []gates.Host) bool {
-	return len(fleet) <= SmallFleet || slices.ContainsFunc(r.turns(fleet), func(h gates.Host) bool { return h.Name == r.self.Name })
+// MayRelay reports whether other hosts of the zone may follow this host, which then
+// keeps its watch on the store. In a small fleet it is true for every host.
+func (s *Selector) MayRelay(fleet []gates.Host) bool {
+	return len(fleet) <= MaxFleetWithoutRelays || slices.ContainsFunc(s.candidates(fleet), func(h gates.Host) bool { return h.Name == s.self.Name })
 }
--- a/core/relay/selector_test.go
+++ b/core/relay/selector_test.go
@@ -32,9 +32,9 @@
 	return out
 }
 
-// TestWatchesDoNotGrowWithTheFleet: one host of each zone watches, however many
-// there are.
-func TestWatchesDoNotGrowWithTheFleet(t *testing.T) {
+// TestNumberOfWatchersDoesNotGrowWithTheFleet checks that one host of each zone watches
+// the store, whatever the number of hosts.
+func TestNumberOfWatchersDoesNotGrowWithTheFleet(t *testing.T) {
 	for _, each := range []int{5, 10, 100} {
 		w := watchers(fleetOf(6, each))
 		require.Len(t, w, 6)
@@ -46,72 +46,72 @@
 	}
 }
 
-func TestSmallFleetWatchesItself(t *testing.T) {
+func TestEveryHostOfASmallFleetWatches(t *testing.T) {
 	require.Len(t, watchers(fleetOf(3, 3)), 9)
 }
 
-// TestLostRelayIsPassedOverForAWhile replays a relay that the store turns away:
-// all of its zone follow one other host, which alone watches the store itself;
-// the others do so only once that one has failed as well.
-func TestLostRelayIsPassedOverForAWhile(t *testing.T) {
+// TestFailedRelayIsSkippedUntilRetry checks that after the failure of a relay all hosts
+// of its zone follow the same second candidate, and watch the store themselves only if
+// that one fails as well.
+func TestFailedRelayIsSkippedUntilRetry(t *testing.T) {
 	fleet := fleetOf(2, 20)
-	next := map[string]bool{}
+	successors := map[string]bool{}
 	direct := 0
 	for _, h := range fleet[:20] {
-		r := relay.New(h)
-		first, follows := r.Pick(fleet, 0)
+		s := relay.New(h)
+		first, follows := s.Pick(fleet, 0)
 		if !follows {
 			continue
 		}
 		require.Equal(t, h.Zone, first.Zone)
-		r.Failed(first.Name, false, 0)
-		second, follows := r.Pick(fleet, relay.AvoidSilent-1)
+		s.MarkFailed(first.Name, false, 0)
+		second, follows := s.Pick(fleet, relay.RetryAfterTimeout-1)
 		if !follows {
 			direct++
 		} else {
-			next[second.Name] = true
+			successors[second.Name] = true
 			require.Equal(t, h.Zone, second.Zone)
 			require.NotEqual(t, first, second)
-			r.Failed(second.Name, false, 0)
-			_, follows = r.Pick(fleet, relay.AvoidSilent-1)
+			s.MarkFailed(second.Name, false, 0)
+			_, follows = s.Pick(fleet, relay.RetryAfterTimeout-1)
 			require.False(t, follows)
 		}
-		again, _ := r.Pick(fleet, relay.AvoidSilent)
+		again, _ := s.Pick(fleet, relay.RetryAfterTimeout)
 		require.Equal(t, first, again)
 		without := slices.DeleteFunc(slices.Clone(fleet), func(x gates.Host) bool { return x.Name == first.Name })
-		if successor, follows := r.Pick(without, relay.AvoidSilent); follows {
-			next[successor.Name] = true
+		if successor, follows := s.Pick(without, relay.RetryAfterTimeout); follows {
+			successors[successor.Name] = true
 		}
 	}
-	require.Len(t, next, 1, "the next in turn succeeds the first")
+	require.Len(t, successors, 1, "the second candidate succeeds the first")
 	require.Equal(t, 1, direct)
 }
 
-// TestRelayThatSaysSoIsTriedAgainSoon: one that has refused is alive, and relays
-// again when it reaches the store.
-func TestRelayThatSaysSoIsTriedAgainSoon(t *testing.T) {
+// TestRelayThatRefusedIsRetriedSooner checks the shorter delay after a refusal: the
+// relay is alive and relays again once it reaches the store.
+func TestRelayThatRefusedIsRetriedSooner(t *testing.T) {
 	fleet := fleetOf(1, 20)
 	for _, h := range fleet {
-		r := relay.New(h)
-		first, follows := r.Pick(fleet, 0)
+		s := relay.New(h)
+		first, follows := s.Pick(fleet, 0)
 		if !follows {
-			require.True(t, r.Serves(fleet))
+			require.True(t, s.MayRelay(fleet))
 			continue
 		}
-		r.Failed(first.Name, true, 0)
-		next, _ := r.Pick(fleet, relay.AvoidRefusing-1)
+		s.MarkFailed(first.Name, true, 0)
+		next, _ := s.Pick(fleet, relay.RetryAfterRefusal-1)
 		require.NotEqual(t, first, next)
-		again, _ := r.Pick(fleet, relay.AvoidRefusing)
+		again, _ := s.Pick(fleet, relay.RetryAfterRefusal)
 		require.Equal(t, first, again)
 	}
 }
 
-// TestFewHostsRelay: of a large fleet only those in turn; of a small one all.
-func TestFewHostsRelay(t *testing.T) {
+// TestOnlyCandidatesRelayInALargeFleet checks MayRelay in a large and in a small fleet.
+func TestOnlyCandidatesRelayInALargeFleet(t *testing.T) {
 	count := func(fleet []gates.Host) int {
 		n := 0
 		for _, h := range fleet {
-			if relay.New(h).Serves(fleet) {
+			if relay.New(h).MayRelay(fleet) {
 				n++
 			}
 		}
--- a/core/roster/roster.go
+++ b/core/roster/roster.go
@@ -1,13 +1,12 @@
-// Package roster decides which hosts are there, from what they register in the
+// Package roster tracks which hosts are in the fleet, from their registrations in the
 // platform's store.
 //
-// Fault pattern: the store returns from a copy that is some seconds old, with half of
-// the leases run out in it. Hosts that stand are missing or about to be, hosts that
-// left are back, and all of them register again within a few seconds. Were each
-// host's picture to follow, members' connections and promotion locks would move from
-// host to host and back, twice, while nothing has changed. So a registration names the
-// epoch of the store that it was written in; after a restore, those of before count
-// until the living have had time to register again.
+// After the store is restored from a copy some seconds old, registrations may be
+// missing, expire soon, or belong to hosts that have left, and the hosts register again
+// within seconds. Applying these changes directly would move members' connections and
+// promotion locks between hosts and back. So a registration names the epoch of the
+// store in which it was written. After a restore, registrations of earlier epochs are
+// carried over until the live hosts have had time to register again.
 package roster
 
 import (
@@ -21,148 +20,151 @@
 )
 
 const (
-	// Carry is how long a registration of an earlier epoch counts at least: twice the
-	// time between two renewals of a host's lease, at which it finds that it has to
-	// register again.
-	Carry = 6 * time.Second
-	// spreadPerHost is the time for each host of a fleet over which its hosts register
-	// again: two writes a host, 400 a second, a third of what the store of a large fleet
-	// takes.
-	spreadPerHost = 5 * time.Millisecond
-	// rememberLeft is how long it is known that a host has left: a copy that still has
-	// it is some seconds old.
-	rememberLeft = time.Minute
+	// MinCarryOver is the minimum time for which registrations of an earlier epoch are
+	// carried over: two renewal intervals of a host's lease. A host finds out at a
+	// renewal that it must register again.
+	MinCarryOver = 6 * time.Second
+	// reregisterSpreadPerHost is the time per host over which the hosts of a fleet
+	// register again. At two writes per host that is 400 writes a second, a third of
+	// the rate limit of the store of a large fleet.
+	reregisterSpreadPerHost = 5 * time.Millisecond
+	// departedRetention is how long a departed host is remembered; a restored copy that
+	// still contains it is only some seconds old.
+	departedRetention = time.Minute
 )
 
-// RegisterWithin returns the time over which the hosts of a fleet of that size spread
-// their calls to register again after a restore.
-//
-// Load pattern: 5,000 hosts learn of a restore within a second. Registering at their
-// next renewal, within 3 s, they would make 3,300 writes a second, the store would
-// turn most of them away, and they would be taken for gone.
-func RegisterWithin(hosts int) time.Duration { return time.Duration(hosts) * spreadPerHost }
+// ReregistrationSpread returns the time over which the hosts of a fleet of the given
+// size spread their registrations after a restore. If all hosts registered at their
+// next renewal, a large fleet would exceed the store's rate limit, and rejected hosts
+// would be considered gone.
+func ReregistrationSpread(hosts int) time.Duration {
+	return time.Duration(hosts) * reregisterSpreadPerHost
+}
 
-// Registration is what a host has registered.
+// Registration is a host's entry in the store.
 type Registration struct {
 	Host gates.Host
-	// Epoch is the store's when it was written.
+	// Epoch is the epoch of the store in which the registration was written.
 	Epoch store.Epoch
-	// ConfigVersion is the newest configuration that the host knew then.
+	// ConfigVersion is the newest configuration version that the host knew when it
+	// registered.
 	ConfigVersion uint64
 }
 
-// Roster is one host's picture of the fleet. It is not safe for concurrent use.
+// Roster is one host's view of the fleet. It is not safe for concurrent use.
 type Roster struct {
-	// epoch is the store's at the newest listing.
+	// epoch is the store's epoch at the newest listing.
 	epoch  store.Epoch
 	listed bool
-	// carryFor is how long registrations of earlier epochs count, for a fleet of this size.
-	carryFor time.Duration
-	hosts    map[string]standing
-	// left maps hosts that have left to when that was heard.
-	left map[string]time.Duration
+	// carryOverFor is how long registrations of earlier epochs are carried over,
+	// depending on the size of the fleet.
+	carryOverFor time.Duration
+	hosts        map[string]entry
+	// departed maps departed hosts to the time when they were removed.
+	departed map[string]time.Duration
 }
 
-// standing is a registration and, where it is of an earlier epoch, until when it
-// counts.
-type standing struct {
+// entry is a registration and, if it is of an earlier epoch, the time until which it is
+// carried over.
+type entry struct {
 	Registration
-	until time.Duration
+	carriedUntil time.Duration
 }
 
-func (s standing) carried() bool { return s.until > 0 }
+func (e entry) carriedOver() bool { return e.carriedUntil > 0 }
 
 // New returns an empty roster.
 func New() *Roster {
-	return &Roster{carryFor: Carry, hosts: map[string]standing{}, left: map[string]time.Duration{}}
+	return &Roster{carryOverFor: MinCarryOver, hosts: map[string]entry{}, departed: map[string]time.Duration{}}
 }
 
-// Replace takes a complete listing of the store.
+// Replace applies a complete listing of the store.
 func (r *Roster) Replace(listing []Registration, epoch store.Epoch, now time.Duration) {
-	before := r.hosts
+	previous := r.hosts
 	restored := r.listed && epoch > r.epoch
-	r.carryFor = max(Carry, 2*RegisterWithin(max(len(before), len(listing))))
-	r.hosts, r.epoch, r.listed = make(map[string]standing, len(listing)), epoch, true
+	r.carryOverFor = max(MinCarryOver, 2*ReregistrationSpread(max(len(previous), len(listing))))
+	r.hosts, r.epoch, r.listed = make(map[string]entry, len(listing)), epoch, true
 	for _, reg := range listing {
 		r.Put(reg, now)
 	}
-	for name, s := range before {
+	for name, e := range previous {
 		_, found := r.hosts[name]
 		switch {
-		case found && s.carried() && !restored && r.hosts[name].carried():
-			r.hosts[name] = s
+		case found && e.carriedOver() && !restored && r.hosts[name].carriedOver():
+			r.hosts[name] = e
 		case found:
 		case restored:
-			r.carry(s.Registration, now)
-		case s.carried():
-			r.hosts[name] = s
+			r.carryOver(e.Registration, now)
+		case e.carriedOver():
+			r.hosts[name] = e
 		default:
-			r.noteLeft(name, now)
+			r.markDeparted(name, now)
 		}
 	}
 }
 
-// Put takes a registration as it was written.
+// Put applies a registration that was written to the store.
 func (r *Roster) Put(reg Registration, now time.Duration) {
 	name := reg.Host.Name
 	if reg.Epoch >= r.epoch {
-		r.hosts[name] = standing{Registration: reg}
-		delete(r.left, name)
+		r.hosts[name] = entry{Registration: reg}
+		delete(r.departed, name)
 		return
 	}
 	if _, found := r.hosts[name]; !found {
-		r.carry(reg, now)
+		r.carryOver(reg, now)
 	}
 }
 
-// carry has a registration of an earlier epoch count for a while, unless its host
-// has left.
-func (r *Roster) carry(reg Registration, now time.Duration) {
+// carryOver keeps a registration of an earlier epoch for a while, unless its host has
+// departed.
+func (r *Roster) carryOver(reg Registration, now time.Duration) {
 	name := reg.Host.Name
-	if at, left := r.left[name]; left && now-at < rememberLeft {
+	if at, departed := r.departed[name]; departed && now-at < departedRetention {
 		return
 	}
-	r.hosts[name] = standing{Registration: reg, until: now + r.carryFor}
+	r.hosts[name] = entry{Registration: reg, carriedUntil: now + r.carryOverFor}
 }
 
-// Remove notes that a registration is gone. One that is carried over goes on to
-// count: its lease may only have run out in the copy.
+// Remove applies the deletion of a registration. Carried-over registrations stay: the
+// lease may have expired only in the restored copy.
 func (r *Roster) Remove(name string, now time.Duration) {
-	if s, found := r.hosts[name]; !found || s.carried() {
+	if e, found := r.hosts[name]; !found || e.carriedOver() {
 		return
 	}
 	delete(r.hosts, name)
-	r.noteLeft(name, now)
+	r.markDeparted(name, now)
 }
 
-// noteLeft notes that a host has left, and forgets those that left long ago.
-func (r *Roster) noteLeft(name string, now time.Duration) {
-	for other, at := range r.left {
-		if now-at >= rememberLeft {
-			delete(r.left, other)
+// markDeparted records that a host has departed, and evicts old records.
+func (r *Roster) markDeparted(name string, now time.Duration) {
+	for other, at := range r.departed {
+		if now-at >= departedRetention {
+			delete(r.departed, other)
 		}
 	}
-	r.left[name] = now
+	r.departed[name] = now
 }
 
-// Expire drops the registrations that were carried over for long enough. It reports
-// whether there were any.
+// Expire removes carried-over registrations whose time has passed. It reports whether
+// it removed any.
 func (r *Roster) Expire(now time.Duration) bool {
 	dropped := false
-	for name, s := range r.hosts {
-		if s.carried() && now >= s.until {
+	for name, e := range r.hosts {
+		if e.carriedOver() && now >= e.carriedUntil {
 			delete(r.hosts, name)
-			r.noteLeft(name, now)
+			r.markDeparted(name, now)
 			dropped = true
 		}
 	}
 	return dropped
 }
 
-// Carries reports whether a registration of an earlier epoch counts at present.
-func (r *Roster) Carries() bool {
-	for _, s := range r.hosts {
-		if s.carried() {
+// HasCarriedOver reports whether any registration is carried over from an earlier
+// epoch.
+func (r *Roster) HasCarriedOver() bool {
+	for _, e := range r.hosts {
+		if e.carriedOver() {
 			return true
 		}
 	}
@@ -171,58 +173,60 @@
 
 // Host returns a host by name.
 func (r *Roster) Host(name string) (gates.Host, bool) {
-	s, found := r.hosts[name]
-	return s.Host, found
+	e, found := r.hosts[name]
+	return e.Host, found
 }
 
-// Registered reports whether a host has registered in the present epoch.
+// Registered reports whether a host has registered in the current epoch.
 func (r *Roster) Registered(name string) bool {
-	s, found := r.hosts[name]
-	return found && !s.carried()
+	e, found := r.hosts[name]
+	return found && !e.carriedOver()
 }
 
-// Hosts returns the hosts, in no order.
+// Hosts returns the hosts in no particular order.
 func (r *Roster) Hosts() []gates.Host {
 	out := make([]gates.Host, 0, len(r.hosts))
-	for _, s := range r.hosts {
-		out = append(out, s.Host)
+	for _, e := range r.hosts {
+		out = append(out, e.Host)
 	}
 	return out
 }
 
-// Len returns how many hosts there are.
+// Len returns the number of hosts.
 func (r *Roster) Len() int { return len(r.hosts) }
 
-// MayKnowNewer reports whether other hosts may run on a newer configuration than the
-// store has: one has named it, or the store has just returned from a copy.
-func (r *Roster) MayKnowNewer(version uint64) bool {
-	return r.ConfigVersion() > version || r.Carries()
+// MayHaveNewerConfig reports whether other hosts may run a newer configuration than the
+// given version of the store: a host has registered with one, or the store was just
+// restored from a copy.
+func (r *Roster) MayHaveNewerConfig(version uint64) bool {
+	return r.ConfigVersion() > version || r.HasCarriedOver()
 }
 
-// LikelyNewest returns some hosts, those first that named the newest configuration,
-// and by chance among equals: a whole fleet may start and ask at the same moment.
-func (r *Roster) LikelyNewest(count int, rng *rand.Rand) []gates.Host {
-	all := make([]Registration, 0, len(r.hosts))
-	for _, s := range r.hosts {
-		all = append(all, s.Registration)
+// HostsWithNewestConfig returns up to count hosts, those with the newest configuration
+// version first. Equal hosts are in random order to spread requests when a whole fleet
+// starts at once.
+func (r *Roster) HostsWithNewestConfig(count int, rng *rand.Rand) []gates.Host {
+	registrations := make([]Registration, 0, len(r.hosts))
+	for _, e := range r.hosts {
+		registrations = append(registrations, e.Registration)
 	}
-	rng.Shuffle(len(all), func(i, j int) { all[i], all[j] = all[j], all[i] })
-	slices.SortStableFunc(all, func(a, b Registration) int {
+	rng.Shuffle(len(registrations), func(i, j int) { registrations[i], registrations[j] = registrations[j], registrations[i] })
+	slices.SortStableFunc(registrations, func(a, b Registration) int {
 		return cmp.Or(cmp.Compare(b.ConfigVersion, a.ConfigVersion), cmp.Compare(b.Epoch, a.Epoch))
 	})
 	var out []gates.Host
-	for _, reg := range all[:min(count, len(all))] {
+	for _, reg := range registrations[:min(count, len(registrations))] {
 		out = append(out, reg.Host)
 	}
 	return out
 }
 
-// ConfigVersion returns the newest configuration that a host knew when it
-// registered.
+// ConfigVersion returns the newest configuration version that a host has registered
+// with.
 func (r *Roster) ConfigVersion() uint64 {
 	newest := uint64(0)
-	for _, s := range r.hosts {
-		newest = max(newest, s.ConfigVersion)
+	for _, e := range r.hosts {
+		newest = max(newest, e.ConfigVersion)
 	}
 	return newest
 }
--- a/core/succession/quorum.go
+++ b/core/succession/quorum.go
@@ -22,10 +22,10 @@
 // Voters returns the hosts that judge the primary of a service.
 func Voters(service string, live []string) []string { return topVoters(service, live).Names() }
 
-func topVoters(service string, live []string) *membership.Top {
-	top := membership.NewTop(service, MaxVoters)
+func topVoters(service string, live []string) *membership.TopHosts {
+	top := membership.NewTopHosts(service, MaxVoters)
 	for _, host := range live {
-		top.Join(host, 0)
+		top.Add(host, 0)
 	}
 	return top
 }
@@ -40,7 +40,7 @@
 	service string
 	// generation is that of the fleet which the voters are of.
 	generation uint64
-	voters     *membership.Top
+	voters     *membership.TopHosts
 }
 
 // NewElectorate returns the voters of no fleet.
@@ -54,14 +54,14 @@
 
 // follow brings the voters in step with a fleet.
 func (e *Electorate) follow(f gates.Fleet) {
-	change, known := f.Since(e.generation)
+	change, known := f.ChangeSince(e.generation)
 	e.generation = f.Generation()
 	if known {
 		for _, h := range change.Left {
-			e.voters.Leave(h.Name)
+			e.voters.Remove(h.Name)
 		}
 		for _, h := range change.Joined {
-			e.voters.Join(h.Name, 0)
+			e.voters.Add(h.Name, 0)
 		}
 	}
 	if !known || e.voters.Stale() {
--- a/node/entry/relay_test.go
+++ b/node/entry/relay_test.go
@@ -17,7 +17,7 @@
 func deployLarge(t *testing.T) *deployment {
 	t.Helper()
 	d := deploy(t, 1, options())
-	d.addHostsBehindProxies(relay.SmallFleet + 2)
+	d.addHostsBehindProxies(relay.MaxFleetWithoutRelays + 2)
 	// A host that starts when the fleet is still small watches the store itself;
 	// it turns to the relay after its next watch.
 	require.Eventually(t, func() bool {
--- a/node/host/gossip.go
+++ b/node/host/gossip.go
@@ -29,7 +29,7 @@
 		if found {
 			go h.ping(ctx, target)
 		}
-		clock.Sleep(ctx, h.timing.Period(h.Known()))
+		clock.Sleep(ctx, h.timing.ProbePeriodFor(h.Known()))
 	}
 }
 
@@ -66,7 +66,7 @@
 // newer.
 func (h *Host) learn(m gossip.Message) {
 	h.fleet.update(func(r *membership.Roster, now time.Duration) {
-		r.Heard(m.Self, now)
+		r.ConfirmAlive(m.Self, now)
 		for _, x := range m.Rumours {
 			r.Merge(x, now)
 		}
--- a/node/registry/apply.go
+++ b/node/registry/apply.go
@@ -153,19 +153,19 @@
 func (r *Registry) takeMember(id string, i store.Item, now time.Duration) effect {
 	if i.Deleted {
 		delete(r.unreadable, i.Key)
-		r.directory.Lose(id, i.Revision, now)
+		r.directory.MarkMissing(id, i.Revision, now)
 		return rerouted
 	}
 	e, ok := r.decodeEntry(i)
 	if !ok {
 		// A member that is alive writes over it with its next heartbeat.
-		r.directory.Lose(id, i.Revision, now)
+		r.directory.MarkMissing(id, i.Revision, now)
 		return rerouted
 	}
 	switch {
 	case r.directory.Put(e, now):
 		return rerouted
-	case r.directory.Doubted(id):
+	case r.directory.StartTimeDisputed(id):
 		// Followers need both entries of an earlier start time to believe it.
 		return noted
 	default:
--- a/node/registry/configuration.go
+++ b/node/registry/configuration.go
@@ -32,7 +32,7 @@
 	if !ok {
 		return nothingNew
 	}
-	if r.catalog == nil && r.askConfig != nil && r.roster.MayKnowNewer(next.Version) {
+	if r.catalog == nil && r.askConfig != nil && r.roster.MayHaveNewerConfig(next.Version) {
 		r.hold(next, document)
 		return nothingNew
 	}
@@ -98,7 +98,7 @@
 		return
 	}
 	// This host may be among them.
-	asked := r.roster.LikelyNewest(askedForConfig+1, r.newRand())
+	asked := r.roster.HostsWithNewestConfig(askedForConfig+1, r.newRand())
 	go func() {
 		r.askAll(asked, stored.Version)
 		r.mu.Lock()
--- a/node/registry/follow.go
+++ b/node/registry/follow.go
@@ -47,7 +47,7 @@
 func (r *Registry) followRelay(outer context.Context, host gates.Host) {
 	ctx, cancel := context.WithCancelCause(outer)
 	defer cancel(nil)
-	watchdog := time.AfterFunc(relay.SilentAfter, func() { cancel(errSilentRelay) })
+	watchdog := time.AfterFunc(relay.HeartbeatTimeout, func() { cancel(errSilentRelay) })
 	defer watchdog.Stop()
 	r.mu.Lock()
 	after := r.revision
@@ -55,7 +55,7 @@
 	r.mu.Unlock()
 	eventlog.RelayFollowed.Info(r.log).Str("peer", host.Name).Stringer("revision", after).Send()
 	err := r.followHost(ctx, host.Address, after, func(n News) {
-		watchdog.Reset(relay.SilentAfter)
+		watchdog.Reset(relay.HeartbeatTimeout)
 		if err := r.takeNews(n); err != nil {
 			cancel(err)
 		}
@@ -67,9 +67,9 @@
 	var refused *RelayRefusedError
 	r.mu.Lock()
 	r.followed = ""
-	r.relays.Failed(host.Name, errors.As(err, &refused), clock.Now())
+	r.relays.MarkFailed(host.Name, errors.As(err, &refused), clock.Now())
 	r.mu.Unlock()
-	clock.Sleep(outer, relay.Settle+rand.N(relay.Settle))
+	clock.Sleep(outer, relay.FailoverDelay+rand.N(relay.FailoverDelay))
 }
 
 // takeNews takes what a relay tells. It fails on news of an older epoch than this
@@ -97,7 +97,7 @@
 func (r *Registry) Tell(ctx context.Context, after store.Revision, send func(News) error) error {
 	r.countFollowers(1)
 	defer r.countFollowers(-1)
-	beat := time.NewTicker(relay.Beat)
+	beat := time.NewTicker(relay.HeartbeatInterval)
 	defer beat.Stop()
 	r.noteAhead(after)
 	for {
@@ -150,7 +150,7 @@
 	if !r.listed || (r.direct && r.away) {
 		return false
 	}
-	return now-r.heardAt <= r.wait+relay.StaleAfter
+	return now-r.heardAt <= r.wait+relay.StoreAnswerGrace
 }
 
 // newsAfter returns what changed after a revision, and a channel that is closed
--- a/node/registry/registration.go
+++ b/node/registry/registration.go
@@ -71,11 +71,11 @@
 // scheduleExpiry looks again when the registrations that are carried over from an
 // earlier epoch have had their time. It is called with mu held.
 func (r *Registry) scheduleExpiry() {
-	if r.expiring || !r.roster.Carries() {
+	if r.expiring || !r.roster.HasCarriedOver() {
 		return
 	}
 	r.expiring = true
-	time.AfterFunc(roster.Carry, r.expireHosts)
+	time.AfterFunc(roster.MinCarryOver, r.expireHosts)
 }
 
 func (r *Registry) expireHosts() {
--- a/node/registry/registry.go
+++ b/node/registry/registry.go
@@ -87,7 +87,7 @@
 	told store.Revision
 	// relays chooses the host to follow; direct tells that this host follows the
 	// store itself.
-	relays *relay.Relays
+	relays *relay.Selector
 	direct bool
 	// interrupt ends the call under way by which this host follows the store.
 	interrupt context.CancelFunc
--- a/node/registry/renewals.go
+++ b/node/registry/renewals.go
@@ -21,7 +21,7 @@
 // restored store. A host that finds out at its renewal is spread over the time between
 // two of them already; only a fleet that needs longer waits on.
 func spread(hosts int, atRenewal bool) time.Duration {
-	within := roster.RegisterWithin(hosts)
+	within := roster.ReregistrationSpread(hosts)
 	if atRenewal {
 		within = max(within-renewEvery, 0)
 	}
--- a/node/registry/restored_store_test.go
+++ b/node/registry/restored_store_test.go
@@ -55,7 +55,7 @@
 // registerFleet writes enough hosts of one zone for a relay, and returns them.
 func registerFleet(p *lineplatform.Platform) []gates.Host {
 	var fleet []gates.Host
-	for n := range relay.SmallFleet + 2 {
+	for n := range relay.MaxFleetWithoutRelays + 2 {
 		h := gates.Host{Name: fmt.Sprintf("host-%d", n), Zone: "a", Address: "unused"}
 		p.Store.Put(hostKey(h.Name), encodeRegistration(roster.Registration{Host: h, Epoch: fleetEpoch}))
 		fleet = append(fleet, h)
--- a/node/registry/run.go
+++ b/node/registry/run.go
@@ -35,7 +35,7 @@
 	// listTimeout bounds a listing of the members.
 	listTimeout = 3 * time.Second
 	// tidyAfter is when a listing looks again for entries that were lost.
-	tidyAfter = directory.Grace + 50*time.Millisecond
+	tidyAfter = directory.GracePeriod + 50*time.Millisecond
 )
 
 var (
@@ -97,7 +97,7 @@
 func (r *Registry) standsIn() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.followHost != nil && r.listed && !r.relays.Serves(r.roster.Hosts())
+	return r.followHost != nil && r.listed && !r.relays.MayRelay(r.roster.Hosts())
 }
 
 func (r *Registry) setDirect(direct bool) {
--- a/node/replicaset/member.go
+++ b/node/replicaset/member.go
@@ -103,7 +103,7 @@
 	return balance.Candidate{
 		ID: m.id, Primary: m.id == primary, RoundTrip: m.set.places.RoundTrip(m.entry.Zone),
 		Answer: m.answer, InUse: m.pool.InUse() + m.elsewhere, Waiting: m.pool.Waiting(),
-		Idle:  m.pool.Idle() > 0 || len(m.share.Gates) > 0,
+		Idle:  m.pool.Idle() > 0 || len(m.share.GateAddresses) > 0,
 		Slots: m.entry.Slots, Suspect: m.health.Doubtful(now), Missing: m.entry.Missing,
 	}
 }
@@ -138,7 +138,7 @@
 }
 
 // sameLife reports whether an entry is of the life that this member stands for.
-func (m *Member) sameLife(e directory.Member) bool { return m.snapshot().SameLife(e.Entry) }
+func (m *Member) sameLife(e directory.Member) bool { return m.snapshot().SameIncarnation(e.Entry) }
 
 // mayClaim reports whether an entry in which the member calls itself primary is
 // to be believed. A member that has just started again may have lost its log;
@@ -202,7 +202,7 @@
 func (m *Member) gateAddresses() []string {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.share.Gates
+	return m.share.GateAddresses
 }
 
 // keepsConnections reports whether this host is one of those that keep the
@@ -238,5 +238,5 @@
 func (m *Member) hasIdle() bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.pool.Idle() > 0 || len(m.share.Gates) > 0
+	return m.pool.Idle() > 0 || len(m.share.GateAddresses) > 0
 }
--- a/node/replicaset/member_health.go
+++ b/node/replicaset/member_health.go
@@ -144,7 +144,7 @@
 	case team != "" && m.set.without.Has(mechanism.TeamGates):
 		return m.share.RouteOf(team, m.id, m.set.host)
 	}
-	return m.share.Gates
+	return m.share.GateAddresses
 }
 
 // detourFor is how long other hosts count as reaching a member: several questions
--- a/node/replicaset/set.go
+++ b/node/replicaset/set.go
@@ -115,7 +115,7 @@
 	mu      sync.Mutex
 	members map[string]*Member
 	// shares are this host's in the members' connections.
-	shares *gates.Shares
+	shares *gates.ShareCache
 	// votes tells that this host is one of those that judge the primary.
 	votes      bool
 	electorate *succession.Electorate
@@ -143,7 +143,7 @@
 		ask: cfg.AskPeers, suspect: cfg.Suspected, remote: cfg.Remote, owner: cfg.Owner, host: cfg.Host, without: cfg.Without, learned: make(chan struct{}),
 		log:       cfg.Log.With().Str("service", cfg.Service).Logger(),
 		attention: make(chan struct{}, 1), members: map[string]*Member{}, changed: make(chan struct{}),
-		shares: gates.NewShares(cfg.Host), electorate: succession.NewElectorate(cfg.Service),
+		shares: gates.NewShareCache(cfg.Host), electorate: succession.NewElectorate(cfg.Service),
 	}
 }
 
@@ -182,7 +182,7 @@
 // mu held.
 func (s *Set) shareOf(plan gates.Plan, m gates.Member) gates.Share {
 	if !s.without.Has(mechanism.Gates) {
-		return plan.Even()
+		return plan.EvenShare()
 	}
 	return s.shares.For(plan, m)
 }
--- a/node/replicaset/stats.go
+++ b/node/replicaset/stats.go
@@ -82,7 +82,7 @@
 	return MemberStats{
 		ID: m.id, Address: m.address, Zone: m.entry.Zone, Slots: m.entry.Slots,
 		Leaving: m.entry.Leaving, Failing: m.health.Failing(), Dead: m.health.Dead(now, m.corroborated), Held: m.held, HeldAgo: now - m.heldAt,
-		Connections: m.pool.Open(), InUse: m.pool.InUse(), Waiting: m.pool.Waiting(), Elsewhere: m.elsewhere, Gates: m.share.Gates,
+		Connections: m.pool.Open(), InUse: m.pool.InUse(), Waiting: m.pool.Waiting(), Elsewhere: m.elsewhere, Gates: m.share.GateAddresses,
 		ByTeam: m.pool.OpenByTeam(),
 	}
 }
