--- a/core/startup/fleet_stability_test.go
+++ b/core/startup/fleet_stability_test.go
@@ -11,85 +11,83 @@
 	"github.com/dotterelswitch/dotterelswitch/core/startup"
 )
 
-// The return of a fleet whose registrations have lapsed: figures of the day that
-// found it. Hosts list the store over 180 ms, register 20 ms later, and hear of
-// each other 100 ms after that.
+// Timing of a fleet restart with expired registrations: hosts list the store over 180
+// ms, register 20 ms later, and learn of each other 100 ms after that.
 const (
-	fleetSize  = 295
-	listedOver = 180 * time.Millisecond
-	registerIn = 20 * time.Millisecond
-	hearIn     = 100 * time.Millisecond
-	tick       = 10 * time.Millisecond
+	fleetSize         = 295
+	listingSpread     = 180 * time.Millisecond
+	registrationDelay = 20 * time.Millisecond
+	propagationDelay  = 100 * time.Millisecond
+	tick              = 10 * time.Millisecond
 )
 
 func listedAt(i int) time.Duration {
-	return time.Second + listedOver*time.Duration(i)/time.Duration(fleetSize)
+	return time.Second + listingSpread*time.Duration(i)/time.Duration(fleetSize)
 }
 
-// knownTo returns the hosts that a host knows at a time.
+// knownTo returns the hosts that a host knows at a given time.
 func knownTo(i int, now time.Duration) []gates.Host {
 	var out []gates.Host
 	for j := range fleetSize {
-		if j == i || listedAt(j)+registerIn+hearIn <= now {
+		if j == i || listedAt(j)+registrationDelay+propagationDelay <= now {
 			out = append(out, gates.Host{Name: fmt.Sprint("host-", j), Zone: fmt.Sprint("zone-", j%6)})
 		}
 	}
 	return out
 }
 
-// keepers counts the hosts that keep connections to a member when they begin to
-// serve.
-func keepers(begins func(i int) time.Duration) int {
+// countGates counts the hosts that consider themselves gates of a member when they
+// start serving.
+func countGates(serveFrom func(i int) time.Duration) int {
 	count := 0
 	for i := range fleetSize {
-		plan := gates.NewPlan(gates.NewFleet(knownTo(i, begins(i)), nil), 87)
-		if share := plan.For(gates.Member{ID: "member", Zone: "zone-0", Slots: 2}, fmt.Sprint("host-", i)); len(share.Gates) == 0 {
+		plan := gates.NewPlan(gates.NewFleet(knownTo(i, serveFrom(i)), nil), 87)
+		if share := plan.For(gates.Member{ID: "member", Zone: "zone-0", Slots: 2}, fmt.Sprint("host-", i)); len(share.GateAddresses) == 0 {
 			count++
 		}
 	}
 	return count
 }
 
-// settlesAt returns when a host knows the fleet well enough.
-func settlesAt(i int) time.Duration {
-	var f startup.Fleet
+// stableAt returns when the fleet is stable for a host.
+func stableAt(i int) time.Duration {
+	var f startup.FleetStability
 	for now := listedAt(i); ; now += tick {
-		f.Seen(len(knownTo(i, now)), false, now)
-		if f.Settled(now) {
+		f.Observe(len(knownTo(i, now)), false, now)
+		if f.Stable(now) {
 			return now
 		}
 	}
 }
 
-// TestHostsThatStartTogetherDoNotAllKeepConnections: a member with two slots has
-// three hosts that keep its connections, not hundreds.
-func TestHostsThatStartTogetherDoNotAllKeepConnections(t *testing.T) {
-	require.Greater(t, keepers(listedAt), fleetSize/2, "the pattern: nearly every host finds itself alone")
-	require.LessOrEqual(t, keepers(settlesAt), 6)
+// TestHostsStartedTogetherDoNotAllBecomeGates guards against hundreds of hosts pooling
+// connections to a member with two slots.
+func TestHostsStartedTogetherDoNotAllBecomeGates(t *testing.T) {
+	require.Greater(t, countGates(listedAt), fleetSize/2, "without the wait most hosts become gates")
+	require.LessOrEqual(t, countGates(stableAt), 6)
 	for i := range fleetSize {
-		require.LessOrEqual(t, settlesAt(i)-listedAt(i), 600*time.Millisecond)
+		require.LessOrEqual(t, stableAt(i)-listedAt(i), 600*time.Millisecond)
 	}
 }
 
-// TestRememberedHostServesAtOnce replays a loss of power that is shorter than the
-// leases: the listing names the fleet.
-func TestRememberedHostServesAtOnce(t *testing.T) {
-	var f startup.Fleet
-	require.False(t, f.Settled(time.Second), "nothing is known before the first listing")
-	f.Seen(295, true, time.Second)
-	require.True(t, f.Settled(time.Second))
+// TestRegisteredHostServesImmediately covers a restart that is shorter than the leases:
+// the first listing contains the fleet.
+func TestRegisteredHostServesImmediately(t *testing.T) {
+	var f startup.FleetStability
+	require.False(t, f.Stable(time.Second), "no fleet is known before the first listing")
+	f.Observe(295, true, time.Second)
+	require.True(t, f.Stable(time.Second))
 }
 
-// TestFleetThatGrowsOnIsNotAwaitedForEver: hosts may join all the time.
-func TestFleetThatGrowsOnIsNotAwaitedForEver(t *testing.T) {
-	var f startup.Fleet
+func TestWaitForAGrowingFleetIsBounded(t *testing.T) {
+	var f startup.FleetStability
 	size := 1
 	for now := time.Second; now < 1600*time.Millisecond; now += 50 * time.Millisecond {
-		f.Seen(size, false, now)
-		require.False(t, f.Settled(now))
+		f.Observe(size, false, now)
+		require.False(t, f.Stable(now))
 		size = 2*size + 1
 	}
-	require.True(t, f.Settled(1600*time.Millisecond))
-	f.Seen(1<<30, false, 1700*time.Millisecond)
-	require.True(t, f.Settled(1700*time.Millisecond), "a host that serves goes on")
+	require.True(t, f.Stable(1600*time.Millisecond))
+	f.Observe(1<<30, false, 1700*time.Millisecond)
+	require.True(t, f.Stable(1700*time.Millisecond), "a serving host keeps serving")
 }
--- a/core/startup/startup.go
+++ b/core/startup/startup.go
@@ -1,35 +1,33 @@
-// Package startup decides how long callers wait for a host that has just
-// started and does not know its configuration yet.
+// Package startup decides how long callers wait for a host that has just started and
+// has no configuration yet.
 //
-// Load pattern: all hosts lose power and come back within a second or two, and
-// their callers connect again at once. The configuration comes with the first
-// answer of the platform's store. A caller that is turned away before that uses
-// up its few tries in milliseconds; one that is kept for a moment is served. A
-// host that has been without configuration for seconds does not expect it
-// soon, and turns callers away at once.
+// When all hosts restart at once, callers reconnect before the store has delivered the
+// configuration. A rejected caller uses up its retries within milliseconds, so logins
+// and statements wait for a moment. A host that has been without configuration for
+// seconds does not expect it soon and rejects callers immediately.
 package startup
 
 import "time"
 
 const (
-	// hope is how long after its start a host expects its configuration: it is
-	// there within half a second of the store's return, and a store that is away
-	// for longer than this is away for many seconds.
-	hope = 4 * time.Second
-	// loginWait is the longest wait of one login. The platform's callers hang up
-	// after 2 s; a quarter is left for the way and a busy host.
-	loginWait = 1500 * time.Millisecond
+	// configTimeout is how long after its start a host expects its configuration. It
+	// usually arrives within half a second of the store's return; longer outages of the
+	// store last many seconds.
+	configTimeout = 4 * time.Second
+	// maxLoginWait is the longest wait of one login. The platform's callers disconnect
+	// after 2 s; the rest is a margin for network and scheduling delays.
+	maxLoginWait = 1500 * time.Millisecond
 )
 
-// LoginUntil returns until when a login that comes now waits for the
-// configuration of a host that started at the given time. It lies in the past
-// when the login is to be refused at once.
-func LoginUntil(started, now time.Duration) time.Duration {
-	return min(started+hope, now+loginWait)
+// LoginDeadline returns the time until which a login that arrives now waits for the
+// configuration of a host that started at the given time. It is in the past if the
+// login is to be rejected immediately.
+func LoginDeadline(started, now time.Duration) time.Duration {
+	return min(started+configTimeout, now+maxLoginWait)
 }
 
-// StatementUntil returns until when a statement waits for the members of its
-// service; startBy is the latest start that is of use to it.
-func StatementUntil(started, startBy time.Duration) time.Duration {
-	return min(started+hope, startBy)
+// StatementDeadline returns the time until which a statement waits for the members of
+// its service; startBy is the latest time at which it may start.
+func StatementDeadline(started, startBy time.Duration) time.Duration {
+	return min(started+configTimeout, startBy)
 }
--- a/node/entry/entry.go
+++ b/node/entry/entry.go
@@ -104,7 +104,7 @@
 	// whether they are known well enough; fleetKnown tells that they are. They
 	// belong to reconcile.
 	fleet      gates.Fleet
-	starting   startup.Fleet
+	starting   startup.FleetStability
 	fleetKnown bool
 
 	// mu guards sets and promoters, both by service.
--- a/node/entry/startup.go
+++ b/node/entry/startup.go
@@ -22,12 +22,12 @@
 	if !h.settings.Without.Has(mechanism.StartupWait) {
 		return h.registry.Catalog()
 	}
-	return awaitStartup(ctx, startup.LoginUntil(h.startedAt, clock.Now()), h.registry.Catalog)
+	return awaitStartup(ctx, startup.LoginDeadline(h.startedAt, clock.Now()), h.registry.Catalog)
 }
 
 // AwaitSet implements edge.Backend.
 func (h *Host) AwaitSet(ctx context.Context, service string, startBy time.Duration) *replicaset.Set {
-	return awaitStartup(ctx, startup.StatementUntil(h.startedAt, startBy), func() *replicaset.Set { return h.Set(service) })
+	return awaitStartup(ctx, startup.StatementDeadline(h.startedAt, startBy), func() *replicaset.Set { return h.Set(service) })
 }
 
 // awaitStartup returns what find finds. While that is nothing it looks again,
@@ -49,9 +49,9 @@
 		return true
 	}
 	now := clock.Now()
-	h.starting.Seen(len(hosts), h.registry.Remembered(), now)
-	if !h.starting.Settled(now) {
-		time.AfterFunc(h.starting.SettlesAt()-now, h.poke)
+	h.starting.Observe(len(hosts), h.registry.Remembered(), now)
+	if !h.starting.Stable(now) {
+		time.AfterFunc(h.starting.StableAt()-now, h.poke)
 		return false
 	}
 	h.fleetKnown = true
