--- a/core/gates/plan_test.go
+++ b/core/gates/plan_test.go
@@ -28,11 +28,11 @@
 func TestFewConnectionsMakeFewGates(t *testing.T) {
 	hosts := fleet("a1", "a1", "a1", "a1", "a2", "a2", "a2", "b1", "b1")
 	plan := gates.NewPlan(gates.NewFleet(hosts, regions), 15)
-	isGate := 0
+	gateCount := 0
 	for _, h := range hosts {
 		s := plan.For(gates.Member{ID: "m", Zone: "a2"}, h.Name)
 		if len(s.GateAddresses) == 0 {
-			isGate++
+			gateCount++
 			require.Equal(t, "a2", h.Zone, "gates are in the zone of the member")
 			require.Equal(t, 7, s.Limits.Max)
 			continue
@@ -41,7 +41,7 @@
 		require.Equal(t, 2, s.Limits.Max)
 		require.Zero(t, s.Limits.Fair, "idle connections of a host that is not a gate are closed")
 	}
-	require.Equal(t, 2, isGate)
+	require.Equal(t, 2, gateCount)
 }
 
 func TestEnoughConnectionsMakeEveryHostAGate(t *testing.T) {
--- a/core/quota/limiter.go
+++ b/core/quota/limiter.go
@@ -145,8 +145,8 @@
 	return run, refused
 }
 
-// RequestFailed ends a request without a grant. The operations waiting for it are
-// refused; operations that were already admitted stay unconfirmed.
+// RequestFailed ends a request without a grant. All waiting operations are refused;
+// operations that were already admitted stay unconfirmed.
 func (lim *Limiter) RequestFailed(team string, now time.Duration) (refused int) {
 	_, refused = lim.ApplyGrant(team, Grant{RetryAfter: failureRetryAfter}, now)
 	return refused
--- a/core/startup/fleet_stability.go
+++ b/core/startup/fleet_stability.go
@@ -24,13 +24,13 @@
 	stable               bool
 }
 
-// Observe records how many hosts are known. Remembered is set if this host was still
+// Observe records how many hosts are known. WasRegistered is set if this host was still
 // registered when it started: no registration has expired, so the fleet is known and
 // stable.
-func (f *FleetStability) Observe(size int, remembered bool, now time.Duration) {
+func (f *FleetStability) Observe(size int, wasRegistered bool, now time.Duration) {
 	switch {
 	case f.stable:
-	case remembered:
+	case wasRegistered:
 		f.stable = true
 	case f.firstSeenAt == 0:
 		f.firstSeenAt, f.grownAt, f.size = now, now, size
