--- /dev/null
+++ b/core/directory/restored_entry.go
@@ -0,0 +1,33 @@
+package directory
+
+import "github.com/dotterelswitch/dotterelswitch/core/store"
+
+// restoredEntry is the entry of a member that the store's copy held after a restore. It
+// distinguishes that entry from later writes of members that do not report a start
+// time: their sequence restarts at one, so an entry with a lower sequence may be
+// either.
+type restoredEntry struct {
+	epoch    store.Epoch
+	sequence uint64
+	found    bool
+}
+
+// outdated reports whether an entry is older than the known one: it comes from a
+// restored copy of the store or was written late.
+func (r *restoredEntry) outdated(known, e Entry) bool {
+	if e.Sequence >= known.Sequence || !known.SameIncarnation(e) {
+		return false
+	}
+	if known.StartedAt != 0 && known.StartedAt == e.StartedAt {
+		return true
+	}
+	epoch := e.Revision.Epoch()
+	if r.found && r.epoch == epoch {
+		return e.Sequence == r.sequence
+	}
+	if epoch > known.Revision.Epoch() {
+		*r = restoredEntry{epoch: epoch, sequence: e.Sequence, found: true}
+		return true
+	}
+	return false
+}
--- /dev/null
+++ b/core/gates/share_cache.go
@@ -0,0 +1,76 @@
+package gates
+
+import "github.com/dotterelswitch/dotterelswitch/core/membership"
+
+// ShareCache caches one host's shares in the members of a service. When the fleet
+// changes, only the shares that the change affects are recomputed (BenchmarkShares). It
+// is not safe for concurrent use.
+type ShareCache struct {
+	host string
+	// generation is that of the fleet for which the rankings were computed.
+	generation uint64
+	byMember   map[string]*cachedShare
+}
+
+// cachedShare is the cached share in one member and the inputs it was computed from.
+type cachedShare struct {
+	member Member
+	// usable is how many connections the member accepted.
+	usable int
+	top    *membership.TopHosts
+	share  Share
+	// valid is set if share is up to date with the other fields.
+	valid bool
+}
+
+// NewShareCache returns an empty cache for a host.
+func NewShareCache(host string) *ShareCache {
+	return &ShareCache{host: host, byMember: map[string]*cachedShare{}}
+}
+
+// For returns the host's share in a member, equal to that of the plan.
+func (s *ShareCache) For(p Plan, m Member) Share {
+	s.update(p.fleet)
+	c, found := s.byMember[m.ID]
+	if !found || c.member.Zone != m.Zone || c.top.Stale() || c.top.Size() != p.gateCount(m) {
+		c = &cachedShare{top: p.fleet.nearestHosts(m, p.gateCount(m))}
+		s.byMember[m.ID] = c
+	}
+	if !c.valid || c.member != m || c.usable != p.usable {
+		c.member, c.usable = m, p.usable
+		c.share, c.valid = p.share(m, s.host, c.top), true
+	}
+	return c.share
+}
+
+// Forget removes a member that no longer exists.
+func (s *ShareCache) Forget(member string) { delete(s.byMember, member) }
+
+// update applies the changes of a fleet to the rankings.
+func (s *ShareCache) update(f Fleet) {
+	change, known := f.ChangeSince(s.generation)
+	s.generation = f.generation
+	if !known {
+		clear(s.byMember)
+		return
+	}
+	if len(change.Joined) == 0 && len(change.Left) == 0 {
+		return
+	}
+	for _, c := range s.byMember {
+		c.update(change, f)
+	}
+}
+
+func (c *cachedShare) update(change Change, f Fleet) {
+	for _, h := range change.Left {
+		if c.top.Remove(h.Name) {
+			c.valid = false
+		}
+	}
+	for _, h := range change.Joined {
+		if c.top.Add(h.Name, f.distance(h.Zone, c.member.Zone)) {
+			c.valid = false
+		}
+	}
+}
--- a/core/succession/voters.go
+++ b/core/succession/voters.go
@@ -22,10 +22,10 @@
 // Voters returns the hosts that vote on the failure of a service's primary.
 func Voters(service string, live []string) []string { return topVoters(service, live).Names() }
 
-func topVoters(service string, live []string) *membership.Top {
-	top := membership.NewTop(service, MaxVoters)
+func topVoters(service string, live []string) *membership.TopHosts {
+	top := membership.NewTopHosts(service, MaxVoters)
 	for _, host := range live {
-		top.Join(host, 0)
+		top.Add(host, 0)
 	}
 	return top
 }
@@ -37,7 +37,7 @@
 	service string
 	// generation is the generation of the fleet that voters was computed from.
 	generation uint64
-	voters     *membership.Top
+	voters     *membership.TopHosts
 }
 
 // NewVoterSet returns an empty voter set, which is filled on first use.
@@ -51,14 +51,14 @@
 
 // update applies the changes up to fleet f.
 func (v *VoterSet) update(f gates.Fleet) {
-	change, known := f.Since(v.generation)
+	change, known := f.ChangeSince(v.generation)
 	v.generation = f.Generation()
 	if known {
 		for _, h := range change.Left {
-			v.voters.Leave(h.Name)
+			v.voters.Remove(h.Name)
 		}
 		for _, h := range change.Joined {
-			v.voters.Join(h.Name, 0)
+			v.voters.Add(h.Name, 0)
 		}
 	}
 	if !known || v.voters.Stale() {
