--- a/core/gates/fleet.go
+++ b/core/gates/fleet.go
@@ -24,7 +24,7 @@
 	Joined, Left []Host
 }
 
-// NewFleet groups hosts by zone. Regions maps zones to regions.
+// NewFleet groups hosts by zone. The map gives the region of each zone.
 func NewFleet(hosts []Host, regionByZone map[string]string) Fleet {
 	f := Fleet{names: make([]string, 0, len(hosts)), byName: make(map[string]Host, len(hosts)), byZone: map[string][]Host{}, regionByZone: regionByZone}
 	for _, h := range hosts {
