--- a/node/cmd/dotterelswitch/platform.go
+++ b/node/cmd/dotterelswitch/platform.go
@@ -134,7 +134,7 @@
 
 func entrySettings(s platformSettings, boot platform.Boot, without mechanism.Disabled) entry.Settings {
 	out := entry.Settings{
-		Host: boot.Host, Places: replicaset.Places{Zone: boot.Zone, Regions: boot.Regions},
+		Host: boot.Host, Places: replicaset.Topology{Zone: boot.Zone, Regions: boot.Regions},
 		CallerAddress: boot.CallerAddress, ReadyAddress: boot.ReadyAddress,
 		MaxSessions: max(boot.MaxDescriptors-reservedDescriptors, 100), Workers: s.workers,
 		Grace: boot.Grace, DrainBound: boot.DrainBound, ConfigBound: boot.ConfigBound, Quota: boot.Quota,
--- a/node/edge/query.go
+++ b/node/edge/query.go
@@ -107,7 +107,7 @@
 // runRemote runs a statement on a member.
 func (s *caller) runRemote(st statement.Statement, route catalog.Route, arrived time.Duration) replicaset.Outcome {
 	w := s.newWork(st, route, arrived)
-	set := s.gateway.backend.AwaitSet(s.ctx, route.Service, w.StartBy)
+	set := s.gateway.backend.AwaitSet(s.ctx, route.Service, w.StartDeadline)
 	if set == nil {
 		return replicaset.Outcome{Answer: s.failStatement(statement.ErrorAnswer(statement.Busy, "no member of the service is known", statement.Idle))}
 	}
@@ -126,7 +126,7 @@
 
 // startOperation runs the first statement of an operation: a single one, or the
 // first of a transaction that needs a member.
-func (s *caller) startOperation(set *replicaset.Set, w replicaset.Work) replicaset.Outcome {
+func (s *caller) startOperation(set *replicaset.Set, w replicaset.Request) replicaset.Outcome {
 	if s.state.State == statement.Open {
 		return s.inTransaction(set, w)
 	}
@@ -152,21 +152,21 @@
 	}
 }
 
-func (s *caller) newWork(st statement.Statement, route catalog.Route, arrived time.Duration) replicaset.Work {
+func (s *caller) newWork(st statement.Statement, route catalog.Route, arrived time.Duration) replicaset.Request {
 	endBy := arrived + route.StatementTimeout - timeoutMargin
 	startBy := endBy - runMargin
 	freshBy := arrived + time.Duration(connpool.OnTimeWaitFraction*float64(route.TargetLatency))
-	return replicaset.Work{
-		Statement: st, Values: s.state.Values(), Committed: s.state.LastCommit, Route: route, Team: s.team.Name,
+	return replicaset.Request{
+		Statement: st, Values: s.state.Values(), LastCommit: s.state.LastCommit, Route: route, Team: s.team.Name,
 		ReadOnly: s.state.ReadOnly, Received: arrived,
-		AimBy: arrived + route.TargetLatency, FreshBy: min(freshBy, startBy), StartBy: startBy, EndBy: endBy,
-		AttemptTime: max(time.Duration(attemptShare*float64(route.TargetLatency)), minAttempt),
+		TargetDeadline: arrived + route.TargetLatency, OnTimeUntil: min(freshBy, startBy), StartDeadline: startBy, Deadline: endBy,
+		AttemptTimeout: max(time.Duration(attemptShare*float64(route.TargetLatency)), minAttempt),
 	}
 }
 
 // inTransaction runs a statement in the open transaction. The transaction gets
 // its member with its first statement.
-func (s *caller) inTransaction(set *replicaset.Set, w replicaset.Work) replicaset.Outcome {
+func (s *caller) inTransaction(set *replicaset.Set, w replicaset.Request) replicaset.Outcome {
 	out := replicaset.Outcome{}
 	if s.tx == nil {
 		tx, begun := set.Begin(s.ctx, w)
--- a/node/entry/entry.go
+++ b/node/entry/entry.go
@@ -47,7 +47,7 @@
 // Settings are what a host is told when it starts.
 type Settings struct {
 	Host          string
-	Places        replicaset.Places
+	Places        replicaset.Topology
 	CallerAddress string
 	ReadyAddress  string
 	// MetricsAddress serves the metrics and shows the host to operators; empty
@@ -288,9 +288,9 @@
 	}
 	var p *promoter.Promoter
 	s := replicaset.New(replicaset.Config{
-		Service: service, Dial: h.dial, Proto: h.adapter.Members, Places: h.settings.Places,
-		DrainBound: h.settings.DrainBound, AskPeers: h.askPeers, Suspected: func() { p.Wake() },
-		Remote: h.remote(), Owner: h.owner, Host: h.settings.Host, Without: h.settings.Without, Log: h.log,
+		Service: service, Dial: h.dial, Proto: h.adapter.Members, Topology: h.settings.Places,
+		DrainTimeout: h.settings.DrainBound, RequestFloor: h.askPeers, OnSuspect: func() { p.Wake() },
+		Remote: h.remote(), Owner: h.owner, Host: h.settings.Host, Disabled: h.settings.Without, Log: h.log,
 	})
 	p = promoter.New(promoter.Config{
 		Service: service, Host: h.settings.Host, Set: s, Registry: h.registry, Caller: h.adapter.Promotion, Peers: h,
@@ -331,7 +331,7 @@
 		now := clock.Now()
 		h.gateway.EndIdle(now - c.TxIdleTimeout)
 		for _, s := range h.allSets() {
-			s.EndUnused(now - c.TxIdleTimeout - unusedSlack)
+			s.RollbackUnused(now - c.TxIdleTimeout - unusedSlack)
 		}
 	})
 }
--- a/node/entry/groups.go
+++ b/node/entry/groups.go
@@ -10,7 +10,7 @@
 
 // ticksPerTidy is how many glances at the promoters go by until connections are
 // looked over.
-const ticksPerTidy = int(replicaset.TidyInterval / promoter.Interval)
+const ticksPerTidy = int(replicaset.TickInterval / promoter.Interval)
 
 // watchGroups looks at all groups by one clock, until the context ends: a timer a
 // group would wake the host for each.
--- a/node/entry/helpers_test.go
+++ b/node/entry/helpers_test.go
@@ -140,7 +140,7 @@
 	d.t.Helper()
 	name := fmt.Sprintf("host-%d", len(d.hosts)+1)
 	s := entry.Settings{
-		Host: name, Places: replicaset.Places{Zone: "a", Regions: map[string]string{"a": "r", "b": "r", "c": "r"}},
+		Host: name, Places: replicaset.Topology{Zone: "a", Regions: map[string]string{"a": "r", "b": "r", "c": "r"}},
 		CallerAddress: free(d.t), ReadyAddress: free(d.t), PeerAddress: free(d.t), MetricsAddress: free(d.t),
 		MaxSessions: 1000, Workers: 256, Grace: 2 * time.Second, DrainBound: 7 * time.Second,
 		Quota: d.tolerance,
--- a/node/entry/peers.go
+++ b/node/entry/peers.go
@@ -47,7 +47,7 @@
 func (h *Host) RunJob(ctx context.Context, service string, j replicaset.Job) replicaset.Result {
 	h.jobs.Add(1)
 	defer h.jobs.Add(-1)
-	s := h.AwaitSet(ctx, service, j.Work.StartBy)
+	s := h.AwaitSet(ctx, service, j.Request.StartDeadline)
 	if s == nil {
 		return replicaset.Result{Err: &replicaset.RefusedError{Reason: "the service is not known here"}}
 	}
@@ -59,8 +59,8 @@
 		return res
 	}
 	if leftOut, ok := h.budget.Allow(eventlog.GateJobFailed, clock.Now()); ok {
-		eventlog.GateJobFailed.Info(h.log).Str("request", j.Work.Statement.ID).Str("service", service).
-			Str("upstream", j.Member).Str("owner", j.Owner).Bool("handed", res.Handed).
+		eventlog.GateJobFailed.Info(h.log).Str("request", j.Request.Statement.ID).Str("service", service).
+			Str("upstream", j.Member).Str("owner", j.Owner).Bool("handed", res.StatementSent).
 			Dur("waited_ms", res.Waited).Err(res.Err).Int("left_out", leftOut).Send()
 	}
 	return res
@@ -80,7 +80,7 @@
 // Detached implements peer.GateHandler.
 func (h *Host) Detached(owner string) {
 	for _, s := range h.allSets() {
-		s.EndOwned(owner)
+		s.RollbackOwned(owner)
 	}
 }
 
@@ -103,7 +103,7 @@
 	}
 	if l := m.Lead; l != nil {
 		if s := h.Set(l.Service); s != nil {
-			s.TakeLead(replicaset.Lead{Primary: l.Primary, Term: l.Term})
+			s.ObserveLeadership(replicaset.Leadership{Primary: l.Primary, Term: l.Term})
 		}
 	}
 	if q := m.QuotaRequest; q != nil {
@@ -116,7 +116,7 @@
 			continue
 		}
 		if f, found := s.Floor(); found {
-			out.Floors = append(out.Floors, gossip.Floor{Service: service, Position: f.Position, Primary: f.Lead.Primary, LeadTerm: f.Lead.Term, Age: now - f.Sent})
+			out.Floors = append(out.Floors, gossip.Floor{Service: service, Position: f.Position, Primary: f.Leadership.Primary, LeadTerm: f.Leadership.Term, Age: now - f.AsOf})
 		}
 	}
 	return out
@@ -137,7 +137,7 @@
 func (h *Host) floorSources(service string) []string {
 	var sources []string
 	if s := h.Set(service); s != nil {
-		sources = slices.Clone(s.KnowingHosts())
+		sources = slices.Clone(s.PrimaryGates())
 	}
 	fleet := h.registry.Fleet()
 	for _, i := range rand.Perm(len(fleet)) {
@@ -164,7 +164,7 @@
 	}
 	for _, f := range answer.Floors {
 		if s := h.Set(f.Service); s != nil {
-			s.LearnFloor(replicaset.HeardFloor(f.Position, replicaset.Lead{Primary: f.Primary, Term: f.LeadTerm}, f.Age, asked))
+			s.ObserveFloor(replicaset.FloorFromAge(f.Position, replicaset.Leadership{Primary: f.Primary, Term: f.LeadTerm}, f.Age, asked))
 		}
 	}
 }
--- a/node/entry/show.go
+++ b/node/entry/show.go
@@ -50,7 +50,7 @@
 }
 
 func (h *Host) showService(s *replicaset.Set, now time.Duration) *inspectpb.Service {
-	primary, _ := s.Believed()
+	primary, _ := s.BelievedPrimary()
 	lock := h.registry.LockOf(s.Service())
 	out := &inspectpb.Service{
 		Name: s.Service(), Primary: primary, Term: uint64(s.Term()),
@@ -58,7 +58,7 @@
 	}
 	if f, found := s.Floor(); found {
 		out.Floor = showPosition(f.Position)
-		out.FloorMsAgo = uint32((now - f.Sent).Milliseconds())
+		out.FloorMsAgo = uint32((now - f.AsOf).Milliseconds())
 	}
 	for _, m := range s.MemberStats(now) {
 		out.Upstreams = append(out.Upstreams, showUpstream(m))
@@ -71,11 +71,11 @@
 		Name: m.ID, Address: m.Address, Zone: m.Zone, Slots: uint32(m.Slots),
 		Leaving: m.Leaving, Failing: m.Failing, Dead: m.Dead,
 		Connections: uint32(m.Connections), InUse: uint32(m.InUse), Waiting: uint32(m.Waiting),
-		Elsewhere: uint32(m.Elsewhere), Gates: m.Gates,
+		Elsewhere: uint32(m.RemoteInFlight), Gates: m.Gates,
 	}
-	if !m.Held.IsZero() {
-		out.Held = showPosition(m.Held)
-		out.HeldMsAgo = uint32(m.HeldAgo.Milliseconds())
+	if !m.Position.IsZero() {
+		out.Held = showPosition(m.Position)
+		out.HeldMsAgo = uint32(m.PositionAge.Milliseconds())
 	}
 	return out
 }
--- a/node/entry/stop.go
+++ b/node/entry/stop.go
@@ -71,7 +71,7 @@
 		return true
 	}
 	for _, s := range h.allSets() {
-		if s.Open() > 0 {
+		if s.OpenTransactions() > 0 {
 			return true
 		}
 	}
--- a/node/peer/compress_test.go
+++ b/node/peer/compress_test.go
@@ -88,7 +88,7 @@
 	b.ReportAllocs()
 	n := 0
 	for b.Loop() {
-		j := replicaset.Job{Kind: replicaset.JobRead, Work: replicaset.Work{EndBy: clock.Now() + time.Minute}}
+		j := replicaset.Job{Kind: replicaset.JobRead, Request: replicaset.Request{Deadline: clock.Now() + time.Minute}}
 		if res := c.Run(b.Context(), address, "svc", j); res.Err != nil {
 			b.Fatal(res.Err)
 		}
--- a/node/peer/gate_client.go
+++ b/node/peer/gate_client.go
@@ -91,12 +91,12 @@
 	if j.Kind == replicaset.JobBegin {
 		c.attach(g)
 	}
-	ctx, cancel := context.WithDeadline(ctx, clock.Deadline(j.Work.EndBy+answerSlack))
+	ctx, cancel := context.WithDeadline(ctx, clock.Deadline(j.Request.Deadline+answerSlack))
 	defer cancel()
 	asked := clock.Now()
 	resp, err := g.client.Run(ctx, connect.NewRequest(jobToProto(service, j)))
 	if err != nil {
-		return replicaset.Result{Err: &replicaset.GateError{Address: address, Sent: maySent(err), Err: err}}
+		return replicaset.Result{Err: &replicaset.GateError{Address: address, MaybeSent: maySent(err), Err: err}}
 	}
 	return resultFromProto(resp.Msg, asked)
 }
--- a/node/peer/gate_convert.go
+++ b/node/peer/gate_convert.go
@@ -26,19 +26,19 @@
 
 func jobToProto(service string, j replicaset.Job) *peerpb.JobRequest {
 	now := clock.Now()
-	w := j.Work
+	w := j.Request
 	return &peerpb.JobRequest{
 		Kind: uint32(j.Kind), Service: service, Upstream: j.Member,
 		Statement: &peerpb.JobStatement{
 			Kind: uint32(w.Statement.Kind), Id: w.Statement.ID, Text: w.Statement.Text, Value: w.Statement.Value,
 			ShapeWrite: w.Statement.Shape.Write, Shape: w.Statement.Shape.Text,
 		},
-		Values: w.Values, Committed: positionToProto(w.Committed),
+		Values: w.Values, Committed: positionToProto(w.LastCommit),
 		Consistency: uint32(w.Route.Consistency), MaxStalenessUs: w.Route.MaxStaleness.Microseconds(),
-		Priority: int32(w.Route.Priority), Floor: positionToProto(j.Floor), Plain: j.Plain, Wrote: j.Wrote,
+		Priority: int32(w.Route.Priority), Floor: positionToProto(j.Floor), Plain: j.RequirePrimary, Wrote: j.Wrote,
 		Transaction: j.Tx, Owner: j.Owner, Team: w.Team,
-		AimUs: left(w.AimBy, now), StartUs: left(w.StartBy, now), EndUs: left(w.EndBy, now),
-		FreshUs: left(w.FreshBy, now), AttemptUs: w.AttemptTime.Microseconds(),
+		AimUs: left(w.TargetDeadline, now), StartUs: left(w.StartDeadline, now), EndUs: left(w.Deadline, now),
+		FreshUs: left(w.OnTimeUntil, now), AttemptUs: w.AttemptTimeout.Microseconds(),
 	}
 }
 
@@ -48,20 +48,20 @@
 	st := p.GetStatement()
 	return replicaset.Job{
 		Kind: replicaset.JobKind(p.GetKind()), Member: p.GetUpstream(),
-		Floor: positionFromProto(p.GetFloor()), Plain: p.GetPlain(), Wrote: p.GetWrote(),
+		Floor: positionFromProto(p.GetFloor()), RequirePrimary: p.GetPlain(), Wrote: p.GetWrote(),
 		Tx: p.GetTransaction(), Owner: p.GetOwner(),
-		Work: replicaset.Work{
+		Request: replicaset.Request{
 			Statement: statement.Statement{
 				Kind: statement.Kind(st.GetKind()), ID: st.GetId(), Text: st.GetText(), Value: st.GetValue(),
 				Shape: statement.Shape{Write: st.GetShapeWrite(), Text: st.GetShape()},
 			},
-			Values: p.GetValues(), Committed: positionFromProto(p.GetCommitted()), Team: p.GetTeam(),
+			Values: p.GetValues(), LastCommit: positionFromProto(p.GetCommitted()), Team: p.GetTeam(),
 			Route: catalog.Route{
 				Service: p.GetService(), Consistency: catalog.Consistency(p.GetConsistency()),
 				MaxStaleness: time.Duration(p.GetMaxStalenessUs()) * time.Microsecond, Priority: int(p.GetPriority()),
 			},
-			Received: now, AimBy: at(p.GetAimUs()), StartBy: at(p.GetStartUs()), EndBy: at(p.GetEndUs()),
-			FreshBy: at(p.GetFreshUs()), AttemptTime: time.Duration(p.GetAttemptUs()) * time.Microsecond,
+			Received: now, TargetDeadline: at(p.GetAimUs()), StartDeadline: at(p.GetStartUs()), Deadline: at(p.GetEndUs()),
+			OnTimeUntil: at(p.GetFreshUs()), AttemptTimeout: time.Duration(p.GetAttemptUs()) * time.Microsecond,
 		},
 	}
 }
@@ -70,20 +70,20 @@
 	out := &peerpb.JobResponse{
 		Rows: r.Answer.Rows, Signature: r.Answer.Signature, Code: uint32(r.Answer.Code), Detail: r.Answer.Detail,
 		State: uint32(r.Answer.State), Position: positionToProto(r.Answer.Position),
-		Handed: r.Handed, Proof: r.Proof, Transaction: r.Tx, WaitedUs: r.Waited.Microseconds(),
+		Handed: r.StatementSent, Proof: r.Proof, Transaction: r.Tx, WaitedUs: r.Waited.Microseconds(),
 		Floor: floorToProto(r.Floor, clock.Now()),
 	}
 	var refused *replicaset.RefusedError
-	var lost *replicaset.LostError
+	var lost *replicaset.NoResponseError
 	var connect *replicaset.ConnectError
 	switch {
 	case r.Err == nil:
 		return out
-	case errors.As(r.Err, &refused) && refused.Dead:
+	case errors.As(r.Err, &refused) && refused.MemberDead:
 		out.Failure = failureDead
 	case errors.As(r.Err, &refused):
 		out.Failure, out.RetryAfterUs = failureRefused, refused.RetryAfter.Microseconds()
-	case errors.As(r.Err, &lost) && lost.Silent:
+	case errors.As(r.Err, &lost) && lost.TimedOut:
 		out.Failure = failureSilent
 	case errors.As(r.Err, &connect):
 		out.Failure = failureRefused
@@ -101,7 +101,7 @@
 	}
 	return &peerpb.Floor{
 		Term: uint64(f.Position.Term), Offset: uint64(f.Position.Offset),
-		AgeUs: uint64((now - f.Sent).Microseconds()), Primary: f.Lead.Primary, LeadTerm: uint64(f.Lead.Term),
+		AgeUs: uint64((now - f.AsOf).Microseconds()), Primary: f.Leadership.Primary, LeadTerm: uint64(f.Leadership.Term),
 	}
 }
 
@@ -112,8 +112,8 @@
 		return replicaset.Floor{}
 	}
 	at := logpos.Position{Term: logpos.Term(p.GetTerm()), Offset: logpos.Offset(p.GetOffset())}
-	lead := replicaset.Lead{Primary: p.GetPrimary(), Term: logpos.Term(p.GetLeadTerm())}
-	return replicaset.HeardFloor(at, lead, time.Duration(p.GetAgeUs())*time.Microsecond, asked)
+	lead := replicaset.Leadership{Primary: p.GetPrimary(), Term: logpos.Term(p.GetLeadTerm())}
+	return replicaset.FloorFromAge(at, lead, time.Duration(p.GetAgeUs())*time.Microsecond, asked)
 }
 
 // resultFromProto decodes the answer to a job that was sent at the given time.
@@ -123,17 +123,17 @@
 			Rows: p.GetRows(), Signature: p.GetSignature(), Code: statement.Code(p.GetCode()), Detail: p.GetDetail(),
 			State: statement.TxState(p.GetState()), Position: positionFromProto(p.GetPosition()),
 		},
-		Handed: p.GetHanded(), Proof: p.GetProof(), Tx: p.GetTransaction(),
+		StatementSent: p.GetHanded(), Proof: p.GetProof(), Tx: p.GetTransaction(),
 		Waited: time.Duration(p.GetWaitedUs()) * time.Microsecond, Floor: floorFromProto(p.GetFloor(), asked),
 	}
 	switch p.GetFailure() {
 	case failureNone:
 	case failureDead:
-		r.Err = &replicaset.RefusedError{Reason: p.GetReason(), Dead: true}
+		r.Err = &replicaset.RefusedError{Reason: p.GetReason(), MemberDead: true}
 	case failureRefused:
 		r.Err = &replicaset.RefusedError{Reason: p.GetReason(), RetryAfter: time.Duration(p.GetRetryAfterUs()) * time.Microsecond}
 	default:
-		r.Err = &replicaset.LostError{Silent: p.GetFailure() == failureSilent, Err: errors.New(p.GetReason())}
+		r.Err = &replicaset.NoResponseError{TimedOut: p.GetFailure() == failureSilent, Err: errors.New(p.GetReason())}
 	}
 	return r
 }
--- a/node/peer/gate_convert_test.go
+++ b/node/peer/gate_convert_test.go
@@ -14,12 +14,12 @@
 // claims no more than it did where it was told.
 func TestFloorIsNotMadeYoungerOnItsWay(t *testing.T) {
 	const asked, told, arrived = 10 * time.Second, 11 * time.Second, 12 * time.Second
-	f := replicaset.Floor{Position: logpos.Position{Term: 3, Offset: 7}, Sent: told - 400*time.Millisecond, Lead: replicaset.Lead{Primary: "m", Term: 4}}
+	f := replicaset.Floor{Position: logpos.Position{Term: 3, Offset: 7}, AsOf: told - 400*time.Millisecond, Leadership: replicaset.Leadership{Primary: "m", Term: 4}}
 	got := floorFromProto(floorToProto(f, told), asked)
 	require.Equal(t, f.Position, got.Position)
-	require.Equal(t, f.Lead, got.Lead)
-	require.LessOrEqual(t, got.Sent, f.Sent)
-	require.Less(t, got.Sent, arrived)
+	require.Equal(t, f.Leadership, got.Leadership)
+	require.LessOrEqual(t, got.AsOf, f.AsOf)
+	require.Less(t, got.AsOf, arrived)
 }
 
 // TestNoFloorStaysNone: a host that knows no floor tells none.
--- a/node/peer/gate_dial_test.go
+++ b/node/peer/gate_dial_test.go
@@ -29,11 +29,11 @@
 		defer c.Close()
 		began := time.Now()
 		for _, address := range []string{"10.0.0.1:1", "10.0.0.2:1", "10.0.0.3:1"} {
-			j := replicaset.Job{Kind: replicaset.JobWrite, Work: replicaset.Work{EndBy: clock.Now() + time.Minute}}
+			j := replicaset.Job{Kind: replicaset.JobWrite, Request: replicaset.Request{Deadline: clock.Now() + time.Minute}}
 			res := c.Run(ctx, address, "svc", j)
 			var gate *replicaset.GateError
 			require.ErrorAs(t, res.Err, &gate)
-			require.False(t, gate.Sent, "a write that was not sent may go elsewhere")
+			require.False(t, gate.MaybeSent, "a write that was not sent may go elsewhere")
 		}
 		require.Less(t, time.Since(began), objective*4/5)
 	})
--- a/node/platformdemo/demo.go
+++ b/node/platformdemo/demo.go
@@ -152,7 +152,7 @@
 func hostSettings(i int) (entry.Settings, error) {
 	zone := []string{"zone-a", "zone-b", "zone-c"}[i%3]
 	s := entry.Settings{
-		Host: fmt.Sprintf("host-%d", i+1), Places: replicaset.Places{Zone: zone},
+		Host: fmt.Sprintf("host-%d", i+1), Places: replicaset.Topology{Zone: zone},
 		MaxSessions: maxSessions, Workers: workers, Grace: grace, DrainBound: 2 * grace,
 		Quota: tolerance,
 	}
--- a/node/promoter/ask.go
+++ b/node/promoter/ask.go
@@ -50,7 +50,7 @@
 
 // subject names the primary in doubt.
 func (p *Promoter) subject() string {
-	id, found := p.set.Believed()
+	id, found := p.set.BelievedPrimary()
 	if !found {
 		return noMember
 	}
@@ -109,13 +109,13 @@
 // may send it statements through this one.
 func (p *Promoter) reaches(life string, now time.Duration) bool {
 	m, known := p.member(life)
-	return known && m.Reached(now)
+	return known && m.Reachable(now)
 }
 
 // member returns the member with a life of that name.
 func (p *Promoter) member(life string) (*replicaset.Member, bool) {
 	for _, m := range p.set.Members() {
-		if m.Life() == life {
+		if m.Incarnation() == life {
 			return m, true
 		}
 	}
@@ -125,7 +125,7 @@
 // hasLost reports whether this host has lost a primary.
 func (p *Promoter) hasLost(life string, now time.Duration) bool {
 	if life == noMember {
-		_, found := p.set.Believed()
+		_, found := p.set.BelievedPrimary()
 		return !found
 	}
 	m, known := p.member(life)
--- a/node/promoter/detour.go
+++ b/node/promoter/detour.go
@@ -24,5 +24,5 @@
 			addresses = append(addresses, address)
 		}
 	}
-	p.set.Detour(failed, addresses, now)
+	p.set.SetDetours(failed, addresses, now)
 }
--- a/node/promoter/evidence.go
+++ b/node/promoter/evidence.go
@@ -25,7 +25,7 @@
 // failedPrimary returns the member that this host takes for a dead primary,
 // noMember for a group that nobody leads, or the empty string.
 func (p *Promoter) failedPrimary(now time.Duration) string {
-	id, found := p.set.Believed()
+	id, found := p.set.BelievedPrimary()
 	if !found {
 		if len(p.set.Members()) == 0 {
 			p.leaderlessSince = 0
@@ -63,8 +63,8 @@
 // aliveAgo returns how long ago the newest thing that a member answered was sent;
 // zero for one that has answered nothing here.
 func (p *Promoter) aliveAgo(id string, now time.Duration) time.Duration {
-	if m, known := p.set.Member(id); known && m.LastAlive() > 0 {
-		return now - m.LastAlive()
+	if m, known := p.set.Member(id); known && m.LastSuccess() > 0 {
+		return now - m.LastSuccess()
 	}
 	return 0
 }
@@ -73,7 +73,7 @@
 // one does not count against it.
 func (p *Promoter) life(id string) string {
 	if m, known := p.set.Member(id); known {
-		return m.Life()
+		return m.Incarnation()
 	}
 	return id
 }
@@ -93,23 +93,23 @@
 // it would answer 5,000 datagrams a second, on a fifth of a core, while it leads
 // the promotion.
 func (p *Promoter) doubted(now time.Duration) bool {
-	id, found := p.set.Believed()
+	id, found := p.set.BelievedPrimary()
 	if !found {
 		// A group without members has just become known; its members come next.
 		return len(p.set.Members()) > 0
 	}
 	m, known := p.set.Member(id)
-	return !known || m.Doubtful(now) || (p.heedsReports() && len(p.registry.Suspecting(p.service, m.Life())) > 0)
+	return !known || m.Suspect(now) || (p.heedsReports() && len(p.registry.Suspecting(p.service, m.Incarnation())) > 0)
 }
 
 // heedsReports reports whether this host acts on what others say of a primary.
 func (p *Promoter) heedsReports() bool {
-	return p.set.Votes() || p.registry.LockOf(p.service).Holder == p.host
+	return p.set.IsVoter() || p.registry.LockOf(p.service).Holder == p.host
 }
 
 // corroborate passes on whether other hosts have lost the primary as well.
 func (p *Promoter) corroborate(now time.Duration) {
-	id, found := p.set.Believed()
+	id, found := p.set.BelievedPrimary()
 	if !found {
 		return
 	}
@@ -117,8 +117,8 @@
 	if !known {
 		return
 	}
-	others := slices.DeleteFunc(p.suspecting(m.Life(), now), func(host string) bool { return host == p.host })
-	m.Corroborate(len(others) > 0)
+	others := slices.DeleteFunc(p.suspecting(m.Incarnation(), now), func(host string) bool { return host == p.host })
+	m.SetCorroborated(len(others) > 0)
 }
 
 // suspecting returns the hosts that have said, directly or in the store, that
@@ -164,14 +164,14 @@
 // dead. A host without traffic would have no evidence of its own, and its voice
 // would be missing.
 func (p *Promoter) verify(ctx context.Context, now time.Duration) {
-	id, found := p.set.Believed()
-	if !found || now-p.verifiedAt < verifyInterval || !p.set.Votes() {
+	id, found := p.set.BelievedPrimary()
+	if !found || now-p.verifiedAt < verifyInterval || !p.set.IsVoter() {
 		return
 	}
 	m, known := p.set.Member(id)
-	if !known || m.Dead(now) || now-m.LastAlive() < provenFor {
+	if !known || m.Dead(now) || now-m.LastSuccess() < provenFor {
 		return
 	}
 	p.verifiedAt = now
-	p.set.Examine(ctx, m)
+	p.set.CheckLiveness(ctx, m)
 }
--- a/node/promoter/keep_store.go
+++ b/node/promoter/keep_store.go
@@ -108,7 +108,7 @@
 // is the first to find the primary dead. The voters may have no traffic of their
 // own, and look once anyone has spoken.
 func (p *Promoter) speaks(lost string) bool {
-	return p.set.Votes() || len(p.registry.Suspecting(p.service, lost)) == 0
+	return p.set.IsVoter() || len(p.registry.Suspecting(p.service, lost)) == 0
 }
 
 func (p *Promoter) report(ctx context.Context, lost string) {
--- a/node/promoter/replace.go
+++ b/node/promoter/replace.go
@@ -41,7 +41,7 @@
 		p.resume(ctx, reports)
 		return err
 	}
-	if id, found := p.set.Believed(); found && id != failed {
+	if id, found := p.set.BelievedPrimary(); found && id != failed {
 		p.resume(ctx, reports)
 		return errRecovered
 	}
@@ -131,7 +131,7 @@
 		}
 		asked++
 		go func() {
-			st, err := p.set.Order(ctx, m, order(m.ID()))
+			st, err := p.set.SendControl(ctx, m, order(m.ID()))
 			if err != nil {
 				eventlog.OrderFailed.Info(p.log).Err(err).Str("upstream", m.ID()).Str("order", "survey").Send()
 			}
@@ -145,7 +145,7 @@
 func (p *Promoter) resume(ctx context.Context, reports []succession.Report) {
 	for _, r := range reports {
 		if m, known := p.set.Member(r.ID); known {
-			if _, err := p.set.Order(ctx, m, statement.Operation{Verb: statement.ResumeReplication}); err != nil {
+			if _, err := p.set.SendControl(ctx, m, statement.Operation{Verb: statement.ResumeReplication}); err != nil {
 				eventlog.OrderFailed.Warn(p.log).Err(err).Str("upstream", r.ID).Str("order", "resume").Send()
 			}
 		}
@@ -183,7 +183,7 @@
 			return nil
 		}
 		if tick%pollsPerProbe == 0 {
-			p.set.Check(ctx, m)
+			p.set.RequestStatus(ctx, m)
 		}
 		clock.Sleep(ctx, showPoll)
 	}
@@ -191,7 +191,7 @@
 }
 
 func (p *Promoter) leads(id string) bool {
-	now, found := p.set.Believed()
+	now, found := p.set.BelievedPrimary()
 	return found && now == id
 }
 
@@ -209,7 +209,7 @@
 
 // handoverDue reports whether the primary leaves and another member stays.
 func (p *Promoter) handoverDue() bool {
-	id, found := p.set.Believed()
+	id, found := p.set.BelievedPrimary()
 	if !found {
 		return false
 	}
@@ -228,7 +228,7 @@
 // handOver moves the lead from a primary that leaves to a replica that holds
 // its whole log, so that nothing is rolled back.
 func (p *Promoter) handOver(ctx context.Context, token uint64) error {
-	id, found := p.set.Believed()
+	id, found := p.set.BelievedPrimary()
 	if !found {
 		return errRecovered
 	}
@@ -237,7 +237,7 @@
 		return errRecovered
 	}
 	p.awaitClose(ctx, old)
-	st, err := p.set.Order(ctx, old, statement.Operation{Verb: statement.StepDown, Term: p.set.Term() + 1})
+	st, err := p.set.SendControl(ctx, old, statement.Operation{Verb: statement.StepDown, Term: p.set.Term() + 1})
 	if err != nil {
 		return err
 	}
--- a/node/replicaset/attempts.go
+++ b/node/replicaset/attempts.go
@@ -7,135 +7,140 @@
 	"github.com/dotterelswitch/dotterelswitch/node/clock"
 )
 
-// maxAttempts bounds the members that one statement is tried on.
+// maxAttempts bounds the attempts per statement.
 const maxAttempts = 6
 
-// attempts carries one step of a caller out on one member after another.
+// attempts runs one step of a caller, trying members in turn.
 type attempts struct {
-	set  *Set
-	work Work
-	out  Outcome
-	// last is why the newest attempt did not succeed.
-	last error
+	set     *Set
+	request Request
+	outcome Outcome
+	// lastErr is the reason why the latest attempt failed.
+	lastErr error
 }
 
-func (s *Set) newAttempts(w Work) *attempts {
-	return &attempts{set: s, work: w, last: &RefusedError{Reason: "no member could be asked"}}
+func (s *Set) newAttempts(req Request) *attempts {
+	return &attempts{set: s, request: req, lastErr: &RefusedError{Reason: "no member could be asked"}}
 }
 
-// left reports whether there may be another attempt.
-func (a *attempts) left(ctx context.Context) bool {
-	return a.out.Attempts < maxAttempts && ctx.Err() == nil && clock.Now() < a.work.EndBy
+// canRetry reports whether another attempt is allowed.
+func (a *attempts) canRetry(ctx context.Context) bool {
+	return a.outcome.Attempts < maxAttempts && ctx.Err() == nil && clock.Now() < a.request.Deadline
 }
 
-// try sends a job to a member. It reports whether the answer is final.
+// try sends a job to a member and reports whether the answer is final.
 func (a *attempts) try(ctx context.Context, m *Member, j Job, primary bool) (Result, bool) {
-	a.out.Attempts++
-	a.out.Member, a.out.Primary, a.out.Floor = m.id, primary, j.Floor
+	a.outcome.Attempts++
+	a.outcome.Member, a.outcome.Primary, a.outcome.Floor = m.id, primary, j.Floor
 	res, gate := a.set.dispatch(ctx, m, j)
-	a.out.Waited, a.out.Gate = res.Waited, gate
+	a.outcome.Waited, a.outcome.Gate = res.Waited, gate
 	if res.Err == nil && !retryable(res.Answer.Code) {
-		a.out.Answer = res.Answer
+		a.outcome.Answer = res.Answer
 		return res, true
 	}
-	a.last = res.failure(m)
+	a.lastErr = res.failure(m)
 	return res, false
 }
 
-// goOnWithPrimary waits shortly before the primary is tried again. It reports
-// false when that is of no use.
-func (a *attempts) goOnWithPrimary(ctx context.Context) bool {
-	return !overloaded(a.last) && clock.Now() <= a.work.StartBy && clock.Sleep(ctx, primaryPause)
+// waitToRetryPrimary sleeps before the primary is tried again. It returns false
+// when a retry is pointless: the primary is overloaded or the start deadline
+// has passed.
+func (a *attempts) waitToRetryPrimary(ctx context.Context) bool {
+	return !overloaded(a.lastErr) && clock.Now() <= a.request.StartDeadline && clock.Sleep(ctx, primaryRetryDelay)
 }
 
-// refused returns the outcome of a step that no attempt carried out.
-func (a *attempts) refused() Outcome { return refuse(a.out, a.work, a.last) }
+// refusal returns the outcome of a step that no attempt completed.
+func (a *attempts) refusal() Outcome { return refuse(a.outcome, a.request, a.lastErr) }
 
-// onPrimary has the primary carry a step out. It is tried again only after an
-// answer that says that it had no effect. The member is nil when none did.
+// onPrimary runs a step on the primary. It retries only after an answer that
+// proves that the step had no effect. The member is nil if no attempt
+// succeeded.
 func (a *attempts) onPrimary(ctx context.Context, kind JobKind) (Result, *Member) {
-	for a.left(ctx) {
-		m, found := a.set.awaitPrimary(ctx, &a.work)
+	for a.canRetry(ctx) {
+		m, found := a.set.awaitPrimary(ctx, &a.request)
 		if !found {
-			a.last = errNoPrimary
+			a.lastErr = errNoPrimary
 			break
 		}
-		res, done := a.try(ctx, m, Job{Kind: kind, Work: a.work, Plain: kind == JobBegin}, true)
+		res, done := a.try(ctx, m, Job{Kind: kind, Request: a.request, RequirePrimary: kind == JobBegin}, true)
 		if done || (kind == JobWrite && res.mayHaveRun()) {
 			return res, m
 		}
-		if !a.goOnWithPrimary(ctx) {
+		if !a.waitToRetryPrimary(ctx) {
 			break
 		}
 	}
 	return Result{}, nil
 }
 
-// onReaders has some member carry out a step that only reads. It may go to
-// several in turn, because a read has no effect. The member is nil when none
-// carried it out.
+// onReaders runs a read-only step. Reads have no effect, so several members may
+// be tried in turn. The member is nil if no attempt succeeded.
 func (a *attempts) onReaders(ctx context.Context, kind JobKind) (Result, *Member) {
-	t := newTried()
-	for a.left(ctx) {
-		r, err := a.pickReader(ctx, t)
+	progress := newReadProgress()
+	for a.canRetry(ctx) {
+		r, err := a.pickReader(ctx, progress)
 		if err != nil {
-			a.last = err
+			a.lastErr = err
 			break
 		}
-		a.out.Source = a.source(r)
-		res, done := a.try(ctx, r.member, a.readerJob(kind, r), r.guarded)
+		a.outcome.Source = a.source(r)
+		res, done := a.try(ctx, r.member, a.readerJob(kind, r), r.verifyPrimary)
 		if done {
 			return res, r.member
 		}
-		if r.unbounded && refusedUnbounded(res.Err) {
-			// The member was not asked; once a floor is known it may serve the read.
-			t.unbounded = true
+		if r.floorFromGate && refusedForNoFloor(res.Err) {
+			// The gate refused without sending the read to the member, so the
+			// member stays eligible.
+			progress.gateLacksFloor = true
 			continue
 		}
-		if a.set.leads(r.member) && overloaded(res.Err) {
-			t.full = res.Err
+		if a.set.isBelievedPrimary(r.member) && overloaded(res.Err) {
+			progress.primaryOverload = res.Err
 		}
-		if !r.guarded {
-			t.failed(r.member, res.Err == nil && res.Answer.Code == statement.Behind)
+		if !r.verifyPrimary {
+			progress.recordFailure(r.member, res.Err == nil && res.Answer.Code == statement.Behind)
 			continue
 		}
-		if a.boundedByNow() {
-			t.failed(r.member, false)
+		if a.floorArrived() {
+			progress.recordFailure(r.member, false)
 			continue
 		}
-		if !a.goOnWithPrimary(ctx) {
+		if !a.waitToRetryPrimary(ctx) {
 			break
 		}
 	}
 	return Result{}, nil
 }
 
-// boundedByNow reports whether the refusal of a primary without room has
-// brought a floor, so that a replica can serve the read.
-func (a *attempts) boundedByNow() bool {
-	if !overloaded(a.last) {
+// floorArrived reports whether an overload refusal from the primary carried a
+// floor, so that a replica can serve the read.
+func (a *attempts) floorArrived() bool {
+	if !overloaded(a.lastErr) {
 		return false
 	}
-	_, found := a.set.floor(a.work, clock.Now())
+	_, found := a.set.floor(a.request, clock.Now())
 	return found
 }
 
-// tried is what has come of a step on the members so far.
-type tried struct {
-	// asked are the members that were tried, and useless those of them that
-	// failed for another reason than a log that was too short.
-	asked, useless map[string]bool
-	// unbounded tells that a gate has found no floor for the read either.
-	unbounded bool
-	// full is the refusal of a primary that has no room; nil while there is none.
-	full error
+// readProgress tracks the members tried so far for one step.
+type readProgress struct {
+	// attempted holds the members that were tried; excluded holds those of them
+	// that failed for a reason other than replication lag.
+	attempted, excluded map[string]bool
+	// gateLacksFloor is set once a gate has reported that it knows no floor
+	// either.
+	gateLacksFloor bool
+	// primaryOverload is the primary's overload refusal; nil if there was none.
+	primaryOverload error
 }
 
-func newTried() *tried { return &tried{asked: map[string]bool{}, useless: map[string]bool{}} }
+func newReadProgress() *readProgress {
+	return &readProgress{attempted: map[string]bool{}, excluded: map[string]bool{}}
+}
 
-func (t *tried) failed(m *Member, behind bool) {
-	t.asked[m.id] = true
-	if !behind {
-		t.useless[m.id] = true
+func (p *readProgress) recordFailure(m *Member, lagging bool) {
+	p.attempted[m.id] = true
+	if !lagging {
+		p.excluded[m.id] = true
 	}
 }
--- a/node/replicaset/conn.go
+++ b/node/replicaset/conn.go
@@ -18,67 +18,67 @@
 	"github.com/dotterelswitch/dotterelswitch/node/clock"
 )
 
-// DialFunc opens a network connection.
 type DialFunc func(ctx context.Context, network, address string) (net.Conn, error)
 
 const (
-	// connectTimeout bounds a connection and its login: several times a full
-	// queue of logins and statements at a member, and far below the silence
-	// that makes it count as dead.
+	// connectTimeout bounds dial and login. It allows for a full login queue at
+	// the member and is far below the silence timeout of failure detection.
 	connectTimeout = 600 * time.Millisecond
-	// readBuffer holds most answers whole (about 1 kB each).
-	readBuffer = 4 << 10
-	// maxShapes bounds the prepared shapes of a connection; past it they are
-	// all cleared.
-	maxShapes = 500
+	// readBufferBytes fits a typical answer (about 1 kB) in one read.
+	readBufferBytes = 4 << 10
+	// maxPreparedStatements bounds the prepared statements per connection; at
+	// the limit all of them are discarded.
+	maxPreparedStatements = 500
 )
 
-// Conn is one connection to a member. It belongs to one user at a time.
+// Conn is one connection to a member. It has one user at a time.
 type Conn struct {
 	id     connpool.ConnID
 	member *Member
-	// team is in whose name the connection was opened; empty for the system's.
-	team   string
-	net    net.Conn
-	raw    syscall.RawConn
-	reader *bufio.Reader
-	proto  Protocol
-	// values are the session values that the member has acknowledged.
+	// team is the team that the connection was opened for; empty for the
+	// proxy's own connections.
+	team    string
+	netConn net.Conn
+	rawConn syscall.RawConn
+	reader  *bufio.Reader
+	proto   Protocol
+	// values are the session values acknowledged by the member.
 	values map[string]string
-	// names maps prepared shapes to their names on this connection.
-	names map[statement.Shape]string
-	// lastState is the state after the newest answer.
+	// preparedNames maps shapes to the names under which they are prepared on
+	// this connection.
+	preparedNames map[statement.Shape]string
+	// lastState is the transaction state reported by the latest answer.
 	lastState statement.TxState
-	// broken is set once the connection cannot be used any more.
+	// broken is set once the connection is unusable.
 	broken  bool
 	takenAt time.Duration
-	// kind is the kind of the statements that its present user runs.
-	kind     string
+	// workKind is the kind of the current user's statements.
+	workKind string
 	nextName int
 }
 
-// connect opens a connection in the name of a team and logs in.
+// connect opens a connection on behalf of a team and logs in.
 func connect(ctx context.Context, dial DialFunc, proto Protocol, m *Member, id connpool.ConnID, team string) (*Conn, error) {
 	ctx, cancel := context.WithTimeout(ctx, connectTimeout)
 	defer cancel()
-	m.dialled(clock.Now())
-	nc, err := dial(ctx, "tcp", m.address)
+	m.dialStarted(clock.Now())
+	netConn, err := dial(ctx, "tcp", m.address)
 	if err != nil {
-		return nil, &ConnectError{Member: m.id, Failure: failureOf(err), Err: err}
+		return nil, &ConnectError{Member: m.id, Failure: classifyFailure(err), Err: err}
 	}
-	m.connected(clock.Now())
+	m.dialSucceeded(clock.Now())
 	c := &Conn{
-		id: id, member: m, team: team, net: nc, proto: proto, reader: bufio.NewReaderSize(nc, readBuffer),
-		values: map[string]string{}, names: map[statement.Shape]string{},
+		id: id, member: m, team: team, netConn: netConn, proto: proto, reader: bufio.NewReaderSize(netConn, readBufferBytes),
+		values: map[string]string{}, preparedNames: map[statement.Shape]string{},
 	}
-	if sc, ok := nc.(syscall.Conn); ok {
-		if c.raw, err = sc.SyscallConn(); err != nil {
-			_ = nc.Close()
+	if sysConn, ok := netConn.(syscall.Conn); ok {
+		if c.rawConn, err = sysConn.SyscallConn(); err != nil {
+			_ = netConn.Close()
 			return nil, &ConnectError{Member: m.id, Err: err}
 		}
 	}
 	if err := c.login(ctx, m); err != nil {
-		_ = nc.Close()
+		_ = netConn.Close()
 		return nil, err
 	}
 	return c, nil
@@ -86,15 +86,15 @@
 
 func (c *Conn) login(ctx context.Context, m *Member) error {
 	deadline, _ := ctx.Deadline()
-	if err := c.net.SetDeadline(deadline); err != nil {
+	if err := c.netConn.SetDeadline(deadline); err != nil {
 		return &ConnectError{Member: m.id, Err: err}
 	}
-	if _, err := c.net.Write(c.proto.EncodeLogin(m.service, c.team, m.id)); err != nil {
-		return &ConnectError{Member: m.id, Failure: failureOf(err), Err: err}
+	if _, err := c.netConn.Write(c.proto.EncodeLogin(m.service, c.team, m.id)); err != nil {
+		return &ConnectError{Member: m.id, Failure: classifyFailure(err), Err: err}
 	}
-	a, err := c.proto.ReadWelcome(c.reader)
+	a, err := c.proto.ReadLoginAnswer(c.reader)
 	if err != nil {
-		return &ConnectError{Member: m.id, Failure: failureOf(err), Err: err}
+		return &ConnectError{Member: m.id, Failure: classifyFailure(err), Err: err}
 	}
 	if a.Code != statement.OK {
 		return &ConnectError{Member: m.id, Code: a.Code, Err: errors.New(a.Code.String() + " " + a.Detail)}
@@ -102,70 +102,70 @@
 	return nil
 }
 
-// Do sends one operation and reads its answer until the given time. After an
-// error, which is a *LostError, the connection is broken.
-func (c *Conn) Do(op statement.Operation, until time.Duration) (statement.Answer, error) {
+// Do sends one operation and waits for its answer until the deadline. Any error
+// is a *NoResponseError and leaves the connection broken.
+func (c *Conn) Do(op statement.Operation, deadline time.Duration) (statement.Answer, error) {
 	sent := clock.Now()
-	c.member.asked(sent)
-	if err := c.net.SetDeadline(clock.Deadline(until)); err != nil {
-		return statement.Answer{}, c.lost(err, sent)
+	c.member.requestSent(sent)
+	if err := c.netConn.SetDeadline(clock.Deadline(deadline)); err != nil {
+		return statement.Answer{}, c.markLost(err, sent)
 	}
-	if _, err := c.net.Write(c.proto.Encode(op)); err != nil {
-		return statement.Answer{}, c.lost(err, sent)
+	if _, err := c.netConn.Write(c.proto.Encode(op)); err != nil {
+		return statement.Answer{}, c.markLost(err, sent)
 	}
 	a, err := c.proto.ReadAnswer(c.reader)
 	if err != nil {
-		return statement.Answer{}, c.lost(err, sent)
+		return statement.Answer{}, c.markLost(err, sent)
 	}
 	c.lastState = a.State
-	c.member.answered(sent, clock.Now(), a, c.kind)
+	c.member.responseReceived(sent, clock.Now(), a, c.workKind)
 	return a, nil
 }
 
-func (c *Conn) lost(err error, sent time.Duration) error {
+func (c *Conn) markLost(err error, sent time.Duration) error {
 	c.broken = true
-	lost := &LostError{Member: c.member.id, Silent: silent(err), Err: err}
-	c.member.failed(sent, failureOf(err))
-	return lost
+	noResponse := &NoResponseError{Member: c.member.id, TimedOut: isTimeout(err), Err: err}
+	c.member.exchangeFailed(sent, classifyFailure(err))
+	return noResponse
 }
 
-// alive reports whether an idle connection is still open, by looking for its
-// end or for bytes that nobody asked for.
+// alive reports whether an idle connection is still open. It peeks at the
+// socket for EOF or unexpected data.
 func (c *Conn) alive() bool {
-	if c.raw == nil {
+	if c.rawConn == nil {
 		return true
 	}
 	if c.reader.Buffered() > 0 {
 		return false
 	}
-	// The time of the last operation may be over by now, and the look at the
-	// connection would fail with it.
-	if err := c.net.SetDeadline(time.Time{}); err != nil {
+	// The deadline of the previous operation may have expired, which would make
+	// the peek fail.
+	if err := c.netConn.SetDeadline(time.Time{}); err != nil {
 		return false
 	}
 	alive := true
-	err := c.raw.Read(func(fd uintptr) bool {
-		var one [1]byte
-		n, _, err := unix.Recvfrom(int(fd), one[:], unix.MSG_PEEK|unix.MSG_DONTWAIT)
+	err := c.rawConn.Read(func(fd uintptr) bool {
+		var buf [1]byte
+		n, _, err := unix.Recvfrom(int(fd), buf[:], unix.MSG_PEEK|unix.MSG_DONTWAIT)
 		alive = n < 0 && (errors.Is(err, unix.EAGAIN) || errors.Is(err, unix.EINTR))
 		return true
 	})
 	return err == nil && alive
 }
 
-// assign brings the connection's session values to those of a caller. A
-// failure breaks the connection and means that nothing of the caller was sent.
-func (c *Conn) assign(values map[string]string, until time.Duration) error {
-	if c.hasExtra(values) {
-		if err := c.clear(until); err != nil {
+// setSessionValues makes the connection's session values equal to the caller's.
+// On error the connection is broken and no statement of the caller was sent.
+func (c *Conn) setSessionValues(values map[string]string, deadline time.Duration) error {
+	if c.hasExtraValue(values) {
+		if err := c.resetSession(deadline); err != nil {
 			return err
 		}
 	}
 	for name, value := range values {
-		if have, found := c.values[name]; found && have == value {
+		if current, found := c.values[name]; found && current == value {
 			continue
 		}
-		if err := c.own(statement.Operation{Verb: statement.SetParameter, Name: name, Value: value}, until); err != nil {
+		if err := c.runInternal(statement.Operation{Verb: statement.SetParameter, Name: name, Value: value}, deadline); err != nil {
 			return err
 		}
 		c.values[name] = value
@@ -173,8 +173,9 @@
 	return nil
 }
 
-// hasExtra reports whether the connection has a value that the caller lacks.
-func (c *Conn) hasExtra(values map[string]string) bool {
+// hasExtraValue reports whether the connection has a session value that is not
+// in values.
+func (c *Conn) hasExtraValue(values map[string]string) bool {
 	for name := range c.values {
 		if _, found := values[name]; !found {
 			return true
@@ -183,64 +184,65 @@
 	return false
 }
 
-func (c *Conn) clear(until time.Duration) error {
-	if err := c.own(statement.Operation{Verb: statement.ResetSession}, until); err != nil {
+func (c *Conn) resetSession(deadline time.Duration) error {
+	if err := c.runInternal(statement.Operation{Verb: statement.ResetSession}, deadline); err != nil {
 		return err
 	}
 	clear(c.values)
-	clear(c.names)
+	clear(c.preparedNames)
 	return nil
 }
 
-// own runs an operation of the system's own that must succeed.
-func (c *Conn) own(op statement.Operation, until time.Duration) error {
-	a, err := c.Do(op, until)
+// runInternal runs an operation issued by the proxy itself; any answer other
+// than OK is an error.
+func (c *Conn) runInternal(op statement.Operation, deadline time.Duration) error {
+	a, err := c.Do(op, deadline)
 	if err != nil {
 		return err
 	}
 	if a.Code != statement.OK {
 		c.broken = true
-		return &LostError{Member: c.member.id, Err: errors.New("unexpected " + a.Code.String() + " " + a.Detail)}
+		return &NoResponseError{Member: c.member.id, Err: errors.New("unexpected " + a.Code.String() + " " + a.Detail)}
 	}
 	return nil
 }
 
-// define returns the name of a shape on this connection and prepares it if it
-// is new.
-func (c *Conn) define(shape statement.Shape, until time.Duration) (string, error) {
-	if name, found := c.names[shape]; found {
+// prepare returns the name of a shape on this connection, preparing it on first
+// use.
+func (c *Conn) prepare(shape statement.Shape, deadline time.Duration) (string, error) {
+	if name, found := c.preparedNames[shape]; found {
 		return name, nil
 	}
-	if len(c.names) >= maxShapes && c.lastState == statement.Idle {
+	if len(c.preparedNames) >= maxPreparedStatements && c.lastState == statement.Idle {
 		values := maps.Clone(c.values)
-		if err := c.clear(until); err != nil {
+		if err := c.resetSession(deadline); err != nil {
 			return "", err
 		}
-		if err := c.assign(values, until); err != nil {
+		if err := c.setSessionValues(values, deadline); err != nil {
 			return "", err
 		}
 	}
 	c.nextName++
 	name := "p" + strconv.Itoa(c.nextName)
-	if err := c.own(statement.Operation{Verb: statement.PrepareStatement, Name: name, Shape: shape}, until); err != nil {
+	if err := c.runInternal(statement.Operation{Verb: statement.PrepareStatement, Name: name, Shape: shape}, deadline); err != nil {
 		return "", err
 	}
-	c.names[shape] = name
+	c.preparedNames[shape] = name
 	return name, nil
 }
 
-// forget drops a prepared name that the member does not know any more.
-func (c *Conn) forget(shape statement.Shape) { delete(c.names, shape) }
+// forgetPrepared drops a prepared name that the member no longer knows.
+func (c *Conn) forgetPrepared(shape statement.Shape) { delete(c.preparedNames, shape) }
 
-// valuesKey identifies the values that the connection has.
+// valuesKey identifies the connection's session values.
 func (c *Conn) valuesKey() string { return session.ValuesKey(c.values) }
 
 func (c *Conn) close() {
 	if !c.broken {
-		// The member frees the connection sooner when told; it notices the end
-		// of the stream otherwise.
-		_ = c.net.SetWriteDeadline(time.Now().Add(time.Millisecond))
-		_, _ = c.net.Write(c.proto.EncodeGoodbye())
+		// A terminate message frees the connection at the member sooner than
+		// EOF does.
+		_ = c.netConn.SetWriteDeadline(time.Now().Add(time.Millisecond))
+		_, _ = c.netConn.Write(c.proto.EncodeTerminate())
 	}
-	_ = c.net.Close()
+	_ = c.netConn.Close()
 }
--- a/node/replicaset/conn_test.go
+++ b/node/replicaset/conn_test.go
@@ -11,41 +11,40 @@
 	"github.com/dotterelswitch/dotterelswitch/node/clock"
 )
 
-// idleConn returns a connection whose last operation has ended and whose time
-// is over, and the member's end of it.
+// idleConn returns an idle connection whose last deadline has expired, and the
+// member's end of it.
 func idleConn(t *testing.T) (*Conn, net.Conn) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	defer func() { _ = l.Close() }()
-	near, err := net.Dial("tcp", l.Addr().String())
+	client, err := net.Dial("tcp", l.Addr().String())
 	require.NoError(t, err)
-	far, err := l.Accept()
+	server, err := l.Accept()
 	require.NoError(t, err)
-	t.Cleanup(func() { _ = near.Close(); _ = far.Close() })
-	raw, err := near.(*net.TCPConn).SyscallConn()
+	t.Cleanup(func() { _ = client.Close(); _ = server.Close() })
+	raw, err := client.(*net.TCPConn).SyscallConn()
 	require.NoError(t, err)
-	require.NoError(t, near.SetDeadline(clock.Deadline(clock.Now()-time.Millisecond)))
-	return &Conn{net: near, raw: raw, reader: bufio.NewReader(near)}, far
+	require.NoError(t, client.SetDeadline(clock.Deadline(clock.Now()-time.Millisecond)))
+	return &Conn{netConn: client, rawConn: raw, reader: bufio.NewReader(client)}, server
 }
 
-// TestIdleConnectionOutlivesItsLastStatement: a connection that has been idle
-// for longer than its last statement had time is used again. A new one costs
-// the member 12 to 27 ms of a slot.
-func TestIdleConnectionOutlivesItsLastStatement(t *testing.T) {
+// TestIdleConnectionUsableAfterDeadline guards against discarding an idle
+// connection because the deadline of its last statement has expired.
+func TestIdleConnectionUsableAfterDeadline(t *testing.T) {
 	c, _ := idleConn(t)
 	require.True(t, c.alive())
 	require.True(t, c.alive())
 }
 
-// TestClosedOrTalkingConnectionIsNotUsed: the end of a connection, or bytes that
-// nobody asked for, are found before a statement is sent.
-func TestClosedOrTalkingConnectionIsNotUsed(t *testing.T) {
-	c, far := idleConn(t)
-	require.NoError(t, far.Close())
+// TestClosedOrUnexpectedDataConnectionNotReused guards against sending a
+// statement on a connection that is closed or has unexpected data.
+func TestClosedOrUnexpectedDataConnectionNotReused(t *testing.T) {
+	c, server := idleConn(t)
+	require.NoError(t, server.Close())
 	require.Eventually(t, func() bool { return !c.alive() }, 5*time.Second, time.Millisecond)
-	c, far = idleConn(t)
-	_, err := far.Write([]byte("x"))
+	c, server = idleConn(t)
+	_, err := server.Write([]byte("x"))
 	require.NoError(t, err)
 	require.Eventually(t, func() bool { return !c.alive() }, 5*time.Second, time.Millisecond)
 }
--- a/node/replicaset/errors.go
+++ b/node/replicaset/errors.go
@@ -10,13 +10,13 @@
 	"github.com/dotterelswitch/dotterelswitch/core/statement"
 )
 
-// ConnectError is a connection that could not be opened.
+// ConnectError reports that a connection could not be opened.
 type ConnectError struct {
 	Member string
-	// Code is set when the member answered and refused.
+	// Code is set when the member answered and refused the login.
 	Code statement.Code
-	// Failure tells how it failed when the member did not answer.
-	Failure failure
+	// Failure is the kind of failure when the member did not answer.
+	Failure failureKind
 	Err     error
 }
 
@@ -26,78 +26,76 @@
 
 func (e *ConnectError) Unwrap() error { return e.Err }
 
-// LostError is an exchange that got no whole answer. The statement may have
-// run.
-type LostError struct {
-	// Member is empty when the exchange was another host's.
+// NoResponseError reports an exchange without a complete answer. The statement
+// may have run.
+type NoResponseError struct {
+	// Member is empty when the exchange took place on another host.
 	Member string
-	// Silent is set when the time ran out, as against a connection that broke.
-	Silent bool
-	Err    error
+	// TimedOut tells a timeout from a broken connection.
+	TimedOut bool
+	Err      error
 }
 
-func (e *LostError) Error() string {
+func (e *NoResponseError) Error() string {
 	if e.Member == "" {
-		// Another host has told it in full.
+		// The message from the other host already names the member.
 		return e.Err.Error()
 	}
 	return fmt.Sprintf("no whole answer from member %s: %v", e.Member, e.Err)
 }
 
-func (e *LostError) Unwrap() error { return e.Err }
+func (e *NoResponseError) Unwrap() error { return e.Err }
 
-// RefusedError is a statement that was not sent: no connection was free in
-// time, or the member is not known.
+// RefusedError reports a statement that was not sent, for example because no
+// connection was free in time or the member is unknown.
 type RefusedError struct {
 	Reason string
-	// RetryAfter is when it is of use to come back.
+	// RetryAfter is the suggested delay before a retry; zero if there is none.
 	RetryAfter time.Duration
-	// Dead tells that the host that refused has found the member dead.
-	Dead bool
+	// MemberDead is set when the refusing host considers the member dead.
+	MemberDead bool
 }
 
 func (e *RefusedError) Error() string { return e.Reason }
 
-// overloaded reports whether a statement was turned away because too many wait.
-// Load pattern: a primary is offered more than it can run. The refusal tells
-// when it is of use to come back; asked again at once, the hosts that keep the
-// primary's connections would spend their processors on refusals.
+// overloaded reports whether a statement was refused because too many are
+// queued. Such a refusal is not retried within the request, because retries
+// would load the gates further.
 func overloaded(err error) bool {
 	var refused *RefusedError
 	return errors.As(err, &refused) && refused.RetryAfter > 0
 }
 
-// refusedUnbounded reports whether an error refuses a read because nothing bounds its
-// age: neither for want of room nor because the member is dead.
-func refusedUnbounded(err error) bool {
+// refusedForNoFloor reports whether an error refuses a read because no floor is
+// known for it, as opposed to overload or a dead member.
+func refusedForNoFloor(err error) bool {
 	var refused *RefusedError
-	return errors.As(err, &refused) && refused.RetryAfter == 0 && !refused.Dead
+	return errors.As(err, &refused) && refused.RetryAfter == 0 && !refused.MemberDead
 }
 
-// failure is how an exchange with a member failed.
-type failure uint8
+// failureKind classifies a failed exchange with a member.
+type failureKind uint8
 
 const (
 	// failureBroken is a connection that broke.
-	failureBroken failure = iota
-	// failureRefused is a connection that the member's machine refused.
+	failureBroken failureKind = iota
+	// failureRefused is a connection refused by the member's machine.
 	failureRefused
-	// failureSilent is a time that ran out.
-	failureSilent
+	// failureTimeout is an expired deadline.
+	failureTimeout
 )
 
-func failureOf(err error) failure {
+func classifyFailure(err error) failureKind {
 	switch {
-	case silent(err):
-		return failureSilent
+	case isTimeout(err):
+		return failureTimeout
 	case errors.Is(err, syscall.ECONNREFUSED):
 		return failureRefused
 	}
 	return failureBroken
 }
 
-// silent reports whether an I/O error is a timeout.
-func silent(err error) bool {
+func isTimeout(err error) bool {
 	var netErr net.Error
 	return errors.As(err, &netErr) && netErr.Timeout()
 }
--- a/node/replicaset/execute.go
+++ b/node/replicaset/execute.go
@@ -11,16 +11,16 @@
 )
 
 const (
-	// undoTimeout bounds the end of a transaction that is dropped.
-	undoTimeout = time.Second
-	// roomPause is the wait before a member that had no room for a statement is
-	// asked again: about the work of one. Each further wait is twice as long, up
-	// to maxRoomPause, because all connections of all hosts may be waiting.
-	roomPause    = 15 * time.Millisecond
-	maxRoomPause = 60 * time.Millisecond
+	// rollbackTimeout bounds the rollback of an abandoned transaction.
+	rollbackTimeout = time.Second
+	// busyRetryDelay is the first wait before a statement that the member
+	// refused as busy is sent again. The delay doubles up to maxBusyRetryDelay,
+	// because many connections may be retrying at once.
+	busyRetryDelay    = 15 * time.Millisecond
+	maxBusyRetryDelay = 60 * time.Millisecond
 )
 
-// Execute carries a job out on a connection of this host.
+// Execute runs a job on a connection of this host.
 func (s *Set) Execute(ctx context.Context, j Job) Result {
 	switch j.Kind {
 	case JobStatement, JobCommit, JobRollback:
@@ -31,159 +31,160 @@
 		return Result{Err: &RefusedError{Reason: "the member is not known here"}}
 	}
 	began := clock.Now()
-	if m.absent(began) {
-		return elsewhere(0)
+	if m.inWrongMemberBackoff(began) {
+		return wrongMemberResult(0)
 	}
-	if j.needsLead() && m.Dead(began) {
-		return Result{Err: &RefusedError{Reason: "the member does not answer", Dead: true}}
+	if j.requiresPrimary() && m.Dead(began) {
+		return Result{Err: &RefusedError{Reason: "the member does not answer", MemberDead: true}}
 	}
-	if err := s.bound(ctx, j); err != nil {
+	if err := s.ensureFloor(ctx, j); err != nil {
 		return Result{Err: err}
 	}
-	c, err := m.acquire(ctx, j.Work.waiter())
+	c, err := m.acquire(ctx, j.Request.waiter())
 	waited := clock.Now() - began
 	if err != nil {
-		return notConnected(err, waited)
+		return acquireFailure(err, waited)
 	}
 	res := s.executeOn(ctx, c, j)
 	res.Waited = waited
 	return res
 }
 
-// errUnbounded refuses a read for which neither its host nor this one knows a
-// floor; the primary has to prove its lead for it.
-var errUnbounded = &RefusedError{Reason: "nothing known bounds the age of the read"}
+// errNoFloor refuses a read for which neither the sending host nor this one
+// knows a floor. Such a read has to be served by the primary.
+var errNoFloor = &RefusedError{Reason: "nothing known bounds the age of the read"}
 
-// bound has this host know a floor for a read that came without one, before the
-// read takes a connection.
-func (s *Set) bound(ctx context.Context, j Job) error {
-	if !j.needsFloor() || s.awaitFloor(ctx, j.Work) {
+// ensureFloor makes sure that a floor is known for a read that came without
+// one, before the read takes a connection.
+func (s *Set) ensureFloor(ctx context.Context, j Job) error {
+	if !j.needsFloor() || s.awaitFloor(ctx, j.Request) {
 		return nil
 	}
-	return errUnbounded
+	return errNoFloor
 }
 
-// notConnected returns the result of a job for which there was no connection.
-// That another member answers at the address is an answer, which other hosts
-// are told as such.
-func notConnected(err error, waited time.Duration) Result {
-	var ce *ConnectError
-	if errors.As(err, &ce) && ce.Code == statement.WrongMember {
-		return elsewhere(waited)
+// acquireFailure returns the result of a job that got no connection. A
+// wrong-member login is returned as an answer, so that it reaches other hosts.
+func acquireFailure(err error, waited time.Duration) Result {
+	var connErr *ConnectError
+	if errors.As(err, &connErr) && connErr.Code == statement.WrongMember {
+		return wrongMemberResult(waited)
 	}
 	return Result{Err: err, Waited: waited}
 }
 
-// elsewhere is the result of a job for a member that is not at its address.
-func elsewhere(waited time.Duration) Result {
+// wrongMemberResult is the result of a job whose member is no longer at its
+// address.
+func wrongMemberResult(waited time.Duration) Result {
 	return Result{Answer: statement.ErrorAnswer(statement.WrongMember, "another member answers at the address", statement.Idle), Waited: waited}
 }
 
-// executeOn carries out a first step on a connection and returns it unless a
-// transaction was opened.
+// executeOn runs a first step on a connection. It releases the connection
+// unless a transaction was opened.
 func (s *Set) executeOn(ctx context.Context, c *Conn, j Job) Result {
-	if err := c.assign(j.Work.Values, j.Work.EndBy); err != nil {
+	if err := c.setSessionValues(j.Request.Values, j.Request.Deadline); err != nil {
 		c.member.release(c)
 		return Result{Err: err}
 	}
 	switch j.Kind {
 	case JobBegin:
 		return s.begin(c, j)
-	case JobGuardedRead:
-		return s.readGuarded(ctx, c, j.Work)
+	case JobPrimaryRead:
+		return s.readOnPrimary(ctx, c, j.Request)
 	case JobRead:
-		return s.readAt(c, j)
+		return s.readAtFloor(c, j)
 	default:
-		return s.write(ctx, c, j.Work)
+		return s.write(ctx, c, j.Request)
 	}
 }
 
-// readAt runs a read on a log that holds the floor.
-func (s *Set) readAt(c *Conn, j Job) Result {
+// readAtFloor runs a read that must observe its floor.
+func (s *Set) readAtFloor(c *Conn, j Job) Result {
 	defer c.member.release(c)
-	floor, err := s.floorNow(j)
+	floor, err := s.currentFloor(j)
 	if err != nil {
 		return Result{Err: err}
 	}
-	x, err := c.run(j.Work.Statement, floor, j.Work.attemptEnd(clock.Now()))
-	return Result{Answer: x.answer, Err: err, Handed: x.handed}
+	x, err := c.run(j.Request.Statement, floor, j.Request.attemptDeadline(clock.Now()))
+	return Result{Answer: x.answer, Err: err, StatementSent: x.statementSent}
 }
 
-// floorNow returns the floor of a read at this moment. The sender's own serves
-// only as long as the job is fresh: it may have waited for a connection.
-func (s *Set) floorNow(j Job) (logpos.Position, error) {
+// currentFloor returns the floor of a read as of now. The sender's floor is
+// used only while the job is recent: it may be too old after a wait for a
+// connection.
+func (s *Set) currentFloor(j Job) (logpos.Position, error) {
 	now := clock.Now()
-	if floor, found := s.floor(j.Work, now); found {
+	if floor, found := s.floor(j.Request, now); found {
 		return floor, nil
 	}
-	if !j.Floor.IsZero() && now-j.Work.Received < stalenessMargin {
+	if !j.Floor.IsZero() && now-j.Request.Received < stalenessMargin {
 		return j.Floor, nil
 	}
 	return logpos.Position{}, &RefusedError{Reason: "the floor grew too old while the statement waited"}
 }
 
-// readGuarded runs a read inside a transaction of the system's own. A member
-// that has lost the lead refuses to open it, or to read in it, so the answer
-// shows every commit acknowledged before. A check made before a plain read
-// would prove nothing about the moment of the read.
-func (s *Set) readGuarded(ctx context.Context, c *Conn, w Work) Result {
+// readOnPrimary runs a read inside a transaction opened for it. A member that
+// is no longer the primary refuses to open the transaction or to read in it, so
+// the answer reflects every commit acknowledged before. A separate check before
+// a plain read would prove nothing about the moment of the read.
+func (s *Set) readOnPrimary(ctx context.Context, c *Conn, req Request) Result {
 	sent := clock.Now()
-	end := w.attemptEnd(sent)
+	end := req.attemptDeadline(sent)
 	a, err := c.Do(statement.Operation{Verb: statement.StartTransaction}, end)
 	if err != nil || a.Code != statement.OK {
 		c.member.release(c)
 		return Result{Answer: a, Err: err}
 	}
-	if s.forgot(c.member, a.Position, sent) {
-		go s.undo(c)
-		return lostLog()
+	if s.positionRegressed(c.member, a.Position, sent) {
+		go s.rollback(c)
+		return lostLogResult()
 	}
-	w.EndBy = end
-	x, err := runWithRoom(ctx, c, w, logpos.Position{})
+	req.Deadline = end
+	x, err := runRetryingBusy(ctx, c, req, logpos.Position{})
 	if err != nil {
 		c.member.release(c)
-		return Result{Err: err, Handed: x.handed}
+		return Result{Err: err, StatementSent: x.statementSent}
 	}
-	res := s.proven(c, x)
-	go s.undo(c)
+	res := s.primaryResult(c, x)
+	go s.rollback(c)
 	res.Answer.State = statement.Idle
 	return res
 }
 
-// write runs a single write.
-func (s *Set) write(ctx context.Context, c *Conn, w Work) Result {
+func (s *Set) write(ctx context.Context, c *Conn, req Request) Result {
 	defer c.member.release(c)
-	x, err := runWithRoom(ctx, c, w, logpos.Position{})
+	x, err := runRetryingBusy(ctx, c, req, logpos.Position{})
 	if err != nil {
-		return Result{Err: err, Handed: x.handed}
+		return Result{Err: err, StatementSent: x.statementSent}
 	}
-	return s.written(c, x)
+	return s.writeResult(c, x)
 }
 
-// written turns the answer to a write, or to a commit of writes, into a result.
-func (s *Set) written(c *Conn, x exchange) Result {
-	res := s.proven(c, x)
+// writeResult turns the answer to a write, or to a commit with writes, into a
+// result.
+func (s *Set) writeResult(c *Conn, x exchange) Result {
+	res := s.primaryResult(c, x)
 	if res.Proof {
-		s.noteWrite(c.member, x.answer.Position)
+		s.logFirstWrite(c.member, x.answer.Position)
 	}
 	return res
 }
 
-// proven turns an answer that only a primary gives into a result, and learns
-// from it.
-func (s *Set) proven(c *Conn, x exchange) Result {
-	res := Result{Answer: x.answer, Handed: x.handed, Proof: x.answer.Code == statement.OK}
+// primaryResult turns an answer that only a primary can give into a result and
+// records the proof of leadership.
+func (s *Set) primaryResult(c *Conn, x exchange) Result {
+	res := Result{Answer: x.answer, StatementSent: x.statementSent, Proof: x.answer.Code == statement.OK}
 	if res.Proof {
-		s.proved(c.member, x.answer.Position, x.sent)
+		s.observeProof(c.member, x.answer.Position, x.sentAt)
 	}
 	return res
 }
 
 // begin opens a transaction and keeps its connection.
 func (s *Set) begin(c *Conn, j Job) Result {
-	op := statement.Operation{Verb: statement.StartTransaction, ReadOnly: !j.Plain}
-	if !j.Plain {
-		floor, err := s.floorNow(j)
+	op := statement.Operation{Verb: statement.StartTransaction, ReadOnly: !j.RequirePrimary}
+	if !j.RequirePrimary {
+		floor, err := s.currentFloor(j)
 		if err != nil {
 			c.member.release(c)
 			return Result{Err: err}
@@ -191,38 +192,40 @@
 		op.MinPosition = floor
 	}
 	sent := clock.Now()
-	a, err := c.Do(op, j.Work.EndBy)
+	a, err := c.Do(op, j.Request.Deadline)
 	if err != nil || a.Code != statement.OK {
 		c.member.release(c)
 		return Result{Answer: a, Err: err}
 	}
-	if j.Plain && s.forgot(c.member, a.Position, sent) {
-		go s.undo(c)
-		return lostLog()
+	if j.RequirePrimary && s.positionRegressed(c.member, a.Position, sent) {
+		go s.rollback(c)
+		return lostLogResult()
 	}
-	if j.Plain {
-		s.proved(c.member, a.Position, sent)
+	if j.RequirePrimary {
+		s.observeProof(c.member, a.Position, sent)
 	}
-	return Result{Answer: a, Proof: j.Plain, Tx: s.txs.add(c, j)}
+	return Result{Answer: a, Proof: j.RequirePrimary, Tx: s.txs.add(c, j)}
 }
 
-// lostLog is the result of a step that a member must not take as the primary,
-// because it has started again without its log. Nothing of the caller was sent.
-func lostLog() Result {
+// lostLogResult is the result of a step on a member that restarted without its
+// log and must not be treated as the primary. No statement of the caller was
+// sent.
+func lostLogResult() Result {
 	return Result{Answer: statement.ErrorAnswer(statement.ReadOnlyMember, "the member has lost its log", statement.Idle)}
 }
 
-// undo rolls back the transaction on a connection and returns it.
-func (s *Set) undo(c *Conn) {
+// rollback rolls back the transaction on a connection, if any, and releases the
+// connection.
+func (s *Set) rollback(c *Conn) {
 	if !c.broken && c.lastState != statement.Idle {
-		if _, err := c.Do(statement.Operation{Verb: statement.RollbackTransaction}, clock.Now()+undoTimeout); err != nil {
-			s.log.Debug().Err(err).Msg("a rollback had no answer; the connection is closed")
+		if _, err := c.Do(statement.Operation{Verb: statement.RollbackTransaction}, clock.Now()+rollbackTimeout); err != nil {
+			s.log.Debug().Err(err).Msg("rollback was not answered; closing the connection")
 		}
 	}
 	c.member.release(c)
 }
 
-// continueTx carries out a later step of a transaction.
+// continueTx runs a later step of a transaction.
 func (s *Set) continueTx(ctx context.Context, j Job) Result {
 	tx, found := s.txs.get(j.Tx)
 	if !found && j.Kind == JobRollback {
@@ -239,58 +242,58 @@
 	if tx.ended {
 		return Result{Err: &RefusedError{Reason: "the transaction has ended"}}
 	}
-	tx.used = clock.Now()
+	tx.lastUsed = clock.Now()
 	if j.Kind == JobRollback {
 		s.endTx(tx)
 		return Result{}
 	}
 	if j.Kind == JobStatement {
-		if err := tx.conn.assign(j.Work.Values, j.Work.EndBy); err != nil {
+		if err := tx.conn.setSessionValues(j.Request.Values, j.Request.Deadline); err != nil {
 			s.endTx(tx)
 			return Result{Err: err}
 		}
 	}
-	x, err := runWithRoom(ctx, tx.conn, j.Work, logpos.Position{})
+	x, err := runRetryingBusy(ctx, tx.conn, j.Request, logpos.Position{})
 	if err != nil {
 		s.endTx(tx)
-		return Result{Err: err, Handed: x.handed}
+		return Result{Err: err, StatementSent: x.statementSent}
 	}
-	res := Result{Answer: x.answer, Handed: x.handed}
+	res := Result{Answer: x.answer, StatementSent: x.statementSent}
 	switch {
-	case tx.plain && j.Kind == JobStatement:
-		res = s.proven(tx.conn, x)
-	case tx.plain && j.Wrote:
-		res = s.written(tx.conn, x)
+	case tx.onPrimary && j.Kind == JobStatement:
+		res = s.primaryResult(tx.conn, x)
+	case tx.onPrimary && j.Wrote:
+		res = s.writeResult(tx.conn, x)
 	}
 	if j.Kind == JobCommit || x.answer.State != statement.Open {
 		s.endTx(tx)
 	}
-	tx.used = clock.Now()
+	tx.lastUsed = clock.Now()
 	return res
 }
 
-// endTx gives the connection of a transaction back. It is called with the
-// transaction's lock held.
+// endTx ends a transaction and releases its connection in the background. It is
+// called with tx.mu held.
 func (s *Set) endTx(tx *localTx) {
 	tx.ended = true
 	s.txs.remove(tx.id)
-	go s.undo(tx.conn)
+	go s.rollback(tx.conn)
 }
 
-// runWithRoom runs a statement, and again while the member has no room for it
-// and the transaction that it runs in, if any, still stands. The member's queue
-// is short; a place in it is free again after a few milliseconds.
-func runWithRoom(ctx context.Context, c *Conn, w Work, floor logpos.Position) (exchange, error) {
+// runRetryingBusy runs a statement and repeats it while the member answers busy
+// and the transaction state is unchanged. The member's queue is short, so a
+// place frees up within milliseconds.
+func runRetryingBusy(ctx context.Context, c *Conn, req Request, floor logpos.Position) (exchange, error) {
 	state := c.lastState
-	for pause := roomPause; ; pause = min(2*pause, maxRoomPause) {
-		x, err := c.run(w.Statement, floor, w.EndBy)
+	for delay := busyRetryDelay; ; delay = min(2*delay, maxBusyRetryDelay) {
+		x, err := c.run(req.Statement, floor, req.Deadline)
 		if err != nil || x.answer.Code != statement.Busy || x.answer.State != state {
 			return x, err
 		}
-		// What starts now must have time left to be answered: a missing answer
-		// would look like a dead member.
+		// Leave enough time for an answer: a timeout would count as evidence
+		// that the member is dead.
 		now := clock.Now()
-		if now > w.StartBy || now+pause+maxRoomPause > w.EndBy || !clock.Sleep(ctx, pause) {
+		if now > req.StartDeadline || now+delay+maxBusyRetryDelay > req.Deadline || !clock.Sleep(ctx, delay) {
 			return x, nil
 		}
 	}
--- a/node/replicaset/floors.go
+++ b/node/replicaset/floors.go
@@ -8,131 +8,134 @@
 	"github.com/dotterelswitch/dotterelswitch/node/clock"
 )
 
-// floor returns the position that a read must find, from what is known now.
-// How stale a read may be counts to the moment at which it is sent to a member:
-// whoever waits gets an answer that is as young as one that did not.
-func (s *Set) floor(w Work, now time.Duration) (logpos.Position, bool) {
-	if w.Route.Consistency == catalog.Primary {
+// floor returns the minimum log position that a read must observe. Staleness is
+// relative to now, the time of sending, so that a wait does not make the answer
+// staler.
+func (s *Set) floor(req Request, now time.Duration) (logpos.Position, bool) {
+	if req.Route.Consistency == catalog.Primary {
 		return logpos.Position{}, false
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.floors.Lookup(now-w.Route.MaxStaleness+stalenessMargin, w.Committed)
+	return s.floors.Lookup(now-req.Route.MaxStaleness+stalenessMargin, req.LastCommit)
 }
 
-// lowerBound returns a position that a read has to find at least, however old
-// what is known of the log: a member that lacks it cannot serve the read.
-func (s *Set) lowerBound(w Work) logpos.Position {
+// lowerBound returns a position that every current floor reaches, however old
+// the latest known floor is. A member that lacks it cannot serve the read.
+func (s *Set) lowerBound(req Request) logpos.Position {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	newest, _, _ := s.floors.Newest()
-	if newest.Less(w.Committed) {
-		return w.Committed
+	if newest.Less(req.LastCommit) {
+		return req.LastCommit
 	}
 	return newest
 }
 
-// Floor is a position that covers every commit that was acknowledged before
-// the time Sent, and the member that proved its lead with it.
+// Floor is a log position that covers every commit acknowledged before AsOf,
+// and the leadership under which the primary reported it.
 type Floor struct {
-	Position logpos.Position
-	Sent     time.Duration
-	Lead     Lead
+	Position   logpos.Position
+	AsOf       time.Duration
+	Leadership Leadership
 }
 
-// Lead is which member leads a group, and in which term. Primary is empty where
-// that is not known.
-type Lead struct {
+// Leadership names a group's primary and its term. Primary is empty if unknown.
+type Leadership struct {
 	Primary string
 	Term    logpos.Term
 }
 
-// HeardFloor returns a floor that another host has told the age of, in answer to
-// something asked at the given time. The age was told after that, so the time
-// that results is not too late, however long the answer took.
-func HeardFloor(p logpos.Position, lead Lead, age, asked time.Duration) Floor {
-	return Floor{Position: p, Sent: asked - age, Lead: lead}
+// FloorFromAge returns a floor whose age another host reported in response to a
+// request sent at asked. The age was measured after the request was sent, so
+// AsOf is never too late, whatever the latency.
+func FloorFromAge(p logpos.Position, leadership Leadership, age, asked time.Duration) Floor {
+	return Floor{Position: p, AsOf: asked - age, Leadership: leadership}
 }
 
-// Floor returns the newest floor, for a host that asks.
+// Floor returns the latest known floor.
 func (s *Set) Floor() (Floor, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	p, sent, found := s.floors.Newest()
-	f := Floor{Position: p, Sent: sent, Lead: Lead{Term: s.floors.Term()}}
-	if s.belief.Term() == f.Lead.Term {
-		f.Lead.Primary = s.belief.Proven()
+	p, asOf, found := s.floors.Newest()
+	f := Floor{Position: p, AsOf: asOf, Leadership: Leadership{Term: s.floors.Term()}}
+	if s.primaryTracker.Term() == f.Leadership.Term {
+		f.Leadership.Primary = s.primaryTracker.Proven()
 	}
 	return f, found
 }
 
-// LearnFloor takes a floor from another host, and who leads with it: a host
-// that asks no member itself has no other way to know while the store is away.
-func (s *Set) LearnFloor(f Floor) {
+// ObserveFloor records a floor from another host, and the primary with it.
+// While the store is unavailable, a host without connections to members learns
+// the primary only this way.
+func (s *Set) ObserveFloor(f Floor) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.floors.ObserveInTerm(f.Lead.Term, f.Position, f.Sent)
-	if f.Lead.Primary != "" {
-		s.reached.Observe(f.Lead.Primary, f.Lead.Term, f.Position, clock.Now())
+	s.floors.ObserveInTerm(f.Leadership.Term, f.Position, f.AsOf)
+	if f.Leadership.Primary != "" {
+		s.highWaterMark.Observe(f.Leadership.Primary, f.Leadership.Term, f.Position, clock.Now())
 	}
-	s.told(f.Lead)
-	close(s.learned)
-	s.learned = make(chan struct{})
+	s.observePeerLeadership(f.Leadership)
+	close(s.floorObserved)
+	s.floorObserved = make(chan struct{})
 }
 
-// TakeLead takes another host's word on who leads.
-func (s *Set) TakeLead(l Lead) {
+// ObserveLeadership records another host's report of the primary.
+func (s *Set) ObserveLeadership(l Leadership) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.told(l)
+	s.observePeerLeadership(l)
 }
 
-// told takes another host's word on who leads. It is called with mu held.
-func (s *Set) told(l Lead) {
-	before := s.belief.Primary()
+// observePeerLeadership records another host's report of the primary. It is
+// called with mu held.
+func (s *Set) observePeerLeadership(l Leadership) {
+	before := s.primaryTracker.Primary()
 	if _, known := s.members[l.Primary]; known {
-		s.belief.ObservePeerProof(l.Primary, l.Term)
-		s.notePrimary(before, "peer")
+		s.primaryTracker.ObservePeerProof(l.Primary, l.Term)
+		s.notifyPrimaryChange(before, "peer")
 	}
 }
 
-// hear takes a floor that came with an answer of another host, unless one that
-// is as new is known. Load pattern: a primary has no room, so a host's own
-// statements tell it nothing of the log, and without a floor all of its reads
-// would go to that primary.
-func (s *Set) hear(f Floor) {
+// observeRemoteFloor records a floor that came with another host's answer,
+// unless it is hardly newer than the one known. Refusals carry floors too: a
+// host whose statements are all refused would otherwise have none and send
+// every read to the overloaded primary.
+func (s *Set) observeRemoteFloor(f Floor) {
 	if f.Position.IsZero() {
 		return
 	}
 	s.mu.Lock()
-	_, sent, found := s.floors.Newest()
+	_, asOf, found := s.floors.Newest()
 	term := s.floors.Term()
 	s.mu.Unlock()
-	if found && f.Lead.Term <= term && f.Sent < sent+hearSpacing {
+	if found && f.Leadership.Term <= term && f.AsOf < asOf+minFloorAdvance {
 		return
 	}
-	s.LearnFloor(f)
+	s.ObserveFloor(f)
 }
 
-// hearSpacing is how much newer a floor must be to be taken from an answer:
-// closer ones hardly move a bound of a second or more.
-const hearSpacing = 50 * time.Millisecond
+// minFloorAdvance is the minimum advance in time for which a floor from an
+// answer is recorded. Staleness bounds are around a second or more, so smaller
+// steps hardly matter.
+const minFloorAdvance = 50 * time.Millisecond
 
-// askInterval spaces the questions to peers about one service.
-const askInterval = 50 * time.Millisecond
+// floorRequestInterval is the minimum time between requests to peers for
+// floors.
+const floorRequestInterval = 50 * time.Millisecond
 
-// askPeers asks other hosts for a floor, unless they were just asked. It
-// returns a channel that is closed when one has answered.
-func (s *Set) askPeers(now time.Duration) <-chan struct{} {
+// requestPeerFloors asks other hosts for a floor, at most once per interval.
+// The returned channel is closed when an answer arrives.
+func (s *Set) requestPeerFloors(now time.Duration) <-chan struct{} {
 	s.mu.Lock()
-	due := now-s.askedAt >= askInterval
+	due := now-s.floorRequestedAt >= floorRequestInterval
 	if due {
-		s.askedAt = now
+		s.floorRequestedAt = now
 	}
-	learned := s.learned
+	observed := s.floorObserved
 	s.mu.Unlock()
-	if due && s.ask != nil {
-		s.ask(s.service)
+	if due && s.requestFloor != nil {
+		s.requestFloor(s.service)
 	}
-	return learned
+	return observed
 }
--- a/node/replicaset/floors_test.go
+++ b/node/replicaset/floors_test.go
@@ -10,21 +10,22 @@
 	"github.com/dotterelswitch/dotterelswitch/node/clock"
 )
 
-// TestFloorCountsToTheMomentOfSending: a read that has waited is not served
-// what would have been young enough when it came.
-func TestFloorCountsToTheMomentOfSending(t *testing.T) {
-	s := distantSet(&fullRemote{})
+// TestFloorIsRelativeToSendTime guards against computing the floor from the
+// time of arrival, which would let a read that waited exceed its staleness
+// bound.
+func TestFloorIsRelativeToSendTime(t *testing.T) {
+	s := setBehindGates(&overloadedRemote{})
 	now := clock.Now()
-	old, young := logpos.Position{Term: 2, Offset: 10}, logpos.Position{Term: 2, Offset: 20}
-	s.LearnFloor(Floor{Position: old, Sent: now - 1600*time.Millisecond, Lead: Lead{Primary: "m", Term: 2}})
-	s.LearnFloor(Floor{Position: young, Sent: now - 200*time.Millisecond, Lead: Lead{Primary: "m", Term: 2}})
-	w := boundedRead(time.Second)
-	w.Route.MaxStaleness = 1500 * time.Millisecond
-	w.Received = now - 300*time.Millisecond
-	floor, found := s.floor(w, w.Received)
+	older, newer := logpos.Position{Term: 2, Offset: 10}, logpos.Position{Term: 2, Offset: 20}
+	s.ObserveFloor(Floor{Position: older, AsOf: now - 1600*time.Millisecond, Leadership: Leadership{Primary: "m", Term: 2}})
+	s.ObserveFloor(Floor{Position: newer, AsOf: now - 200*time.Millisecond, Leadership: Leadership{Primary: "m", Term: 2}})
+	req := boundedRead(time.Second)
+	req.Route.MaxStaleness = 1500 * time.Millisecond
+	req.Received = now - 300*time.Millisecond
+	floor, found := s.floor(req, req.Received)
 	require.True(t, found)
-	require.Equal(t, old, floor)
-	floor, found = s.floor(w, now)
+	require.Equal(t, older, floor)
+	floor, found = s.floor(req, now)
 	require.True(t, found)
-	require.Equal(t, young, floor)
+	require.Equal(t, newer, floor)
 }
--- a/node/replicaset/gate_health.go
+++ b/node/replicaset/gate_health.go
@@ -7,31 +7,32 @@
 	"github.com/dotterelswitch/dotterelswitch/core/health"
 )
 
-// gateHealth is health.GateDetector for concurrent use. Its lock is a leaf.
+// gateHealth makes health.GateDetector safe for concurrent use. No other lock
+// is taken while its lock is held.
 type gateHealth struct {
 	mu    sync.Mutex
 	gates health.GateDetector
 }
 
-func (g *gateHealth) started(address string, now time.Duration) {
+func (g *gateHealth) callStarted(address string, now time.Duration) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.gates.CallStarted(address, now)
 }
 
-func (g *gateHealth) ended(address string, answered bool, now time.Duration) {
+func (g *gateHealth) callEnded(address string, answered bool, now time.Duration) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.gates.CallEnded(address, answered, now)
 }
 
-func (g *gateHealth) alive(address string, now time.Duration) {
+func (g *gateHealth) probeAnswered(address string, now time.Duration) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.gates.ProbeAnswered(address, now)
 }
 
-func (g *gateHealth) due(address string, now time.Duration) bool {
+func (g *gateHealth) probeDue(address string, now time.Duration) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.gates.ProbeDue(address, now)
--- a/node/replicaset/job.go
+++ b/node/replicaset/job.go
@@ -9,104 +9,106 @@
 	"github.com/dotterelswitch/dotterelswitch/core/statement"
 )
 
-// JobKind is one step of a caller on one member.
+// JobKind is the kind of a step on one member.
 type JobKind uint8
 
-// The kinds of jobs.
 const (
 	// JobRead is a read at or past a floor.
 	JobRead JobKind = iota
-	// JobGuardedRead is a read during which the member must prove its lead.
-	JobGuardedRead
-	// JobWrite is a single write.
+	// JobPrimaryRead is a read during which the member must prove that it is
+	// the primary.
+	JobPrimaryRead
+	// JobWrite is a single write outside a transaction.
 	JobWrite
-	// JobBegin opens a transaction.
 	JobBegin
 	// JobStatement is a read or a write in an open transaction.
 	JobStatement
-	// JobCommit ends a transaction and keeps its writes.
 	JobCommit
-	// JobRollback drops a transaction.
 	JobRollback
 )
 
-// Job is a step with all that decides how it is carried out, here or on the
-// host that keeps the member's connections.
+// Job is one step and the parameters of its execution, on this host or on a
+// gate of the member.
 type Job struct {
-	Kind   JobKind
-	Member string
-	Work   Work
-	// Floor is the position that the sender knows a read must find.
+	Kind    JobKind
+	Member  string
+	Request Request
+	// Floor is the minimum log position for a read, as known to the sender;
+	// zero if it knows none.
 	Floor logpos.Position
-	// Plain asks JobBegin for a transaction that only the primary can run.
-	Plain bool
-	// Wrote tells JobCommit that there are writes.
+	// RequirePrimary makes JobBegin open a transaction that only the primary
+	// can run.
+	RequirePrimary bool
+	// Wrote tells JobCommit that the transaction has writes.
 	Wrote bool
-	// Tx is the transaction of the later steps.
+	// Tx identifies the transaction of a later step.
 	Tx uint64
-	// Owner names the host, and its incarnation, that opens a transaction.
+	// Owner identifies the host, with its incarnation, that opens a
+	// transaction.
 	Owner string
 }
 
-// repeatable reports whether the job may be carried out twice. A transaction
-// that was begun in vain is rolled back where it was begun.
+// repeatable reports whether the job may run twice. A transaction that was
+// opened twice is rolled back on the gate that does not get its later steps.
 func (j Job) repeatable() bool {
-	return j.Kind == JobRead || j.Kind == JobGuardedRead || j.Kind == JobBegin
+	return j.Kind == JobRead || j.Kind == JobPrimaryRead || j.Kind == JobBegin
 }
 
-// needsFloor reports whether the job is a read of a replica that came without a
+// needsFloor reports whether the job reads from a replica and came without a
 // floor.
 func (j Job) needsFloor() bool {
-	return (j.Kind == JobRead || (j.Kind == JobBegin && !j.Plain)) && j.Floor.IsZero()
+	return (j.Kind == JobRead || (j.Kind == JobBegin && !j.RequirePrimary)) && j.Floor.IsZero()
 }
 
-// needsLead reports whether only the primary can carry the job out.
-func (j Job) needsLead() bool {
-	return j.Kind == JobGuardedRead || j.Kind == JobWrite || (j.Kind == JobBegin && j.Plain)
+// requiresPrimary reports whether only the primary can run the job.
+func (j Job) requiresPrimary() bool {
+	return j.Kind == JobPrimaryRead || j.Kind == JobWrite || (j.Kind == JobBegin && j.RequirePrimary)
 }
 
-// Result is what came of a job.
+// Result is the result of a job.
 type Result struct {
 	Answer statement.Answer
-	// Err is why there is no answer: a *RefusedError, *ConnectError, *LostError
-	// or *GateError.
+	// Err is the reason for a missing answer: a *RefusedError, *ConnectError,
+	// *NoResponseError or *GateError.
 	Err error
-	// Handed is set once the member may have got the caller's statement.
-	Handed bool
-	// Proof is set when only the primary could answer like this.
+	// StatementSent is set once the member may have received the caller's
+	// statement.
+	StatementSent bool
+	// Proof is set when only the primary could have given this answer.
 	Proof bool
 	Tx    uint64
-	// Waited is the time before a connection was had.
+	// Waited is the time until a connection was acquired.
 	Waited time.Duration
-	// Floor is the newest that another host knew that carried the job out, or
-	// refused it; zero for a job of this host.
+	// Floor is the latest floor known to the other host that ran or refused the
+	// job; zero for a local job.
 	Floor Floor
 }
 
-// Remote runs jobs on other hosts. An error of the way there is a *GateError.
+// Remote runs jobs on other hosts. Transport failures are returned as
+// *GateError.
 type Remote interface {
 	Run(ctx context.Context, address, service string, j Job) Result
-	// Alive asks a host for a sign of life, which takes it no work, and waits
-	// shortly for it.
+	// Alive pings a host, with a short timeout.
 	Alive(ctx context.Context, address string) bool
-	// Drop closes the connections to a host, so that what waits there fails.
+	// Drop closes the connections to a host, which fails the calls in progress
+	// there.
 	Drop(address string)
 }
 
-// GateError is a job that another host did not answer.
+// GateError reports a job that another host did not answer.
 type GateError struct {
 	Address string
-	// Sent tells that the other host may have got the job.
-	Sent bool
-	Err  error
+	// MaybeSent is set if the other host may have received the job.
+	MaybeSent bool
+	Err       error
 }
 
 func (e *GateError) Error() string { return "host " + e.Address + ": " + e.Err.Error() }
 
 func (e *GateError) Unwrap() error { return e.Err }
 
-// gateError returns the failure of the way to another host, if that is why
-// there is no answer.
+// gateError returns the transport failure that is the reason for a missing
+// answer, if any.
 func (r Result) gateError() (*GateError, bool) {
 	var gate *GateError
 	failed := errors.As(r.Err, &gate)
--- a/node/replicaset/lag_test.go
+++ b/node/replicaset/lag_test.go
@@ -16,161 +16,160 @@
 	"github.com/dotterelswitch/dotterelswitch/node/clock"
 )
 
-// lagRemote stands for the gates of a primary without room and of a replica
-// that applies its log late.
-type lagRemote struct {
-	began time.Duration
-	// behindBy is how late the replica applies a commit; it makes one each
+// delayedReplicaRemote simulates the gates of an overloaded primary and of a
+// replica that applies its log with a delay.
+type delayedReplicaRemote struct {
+	startedAt time.Duration
+	// applyDelay is the replica's apply delay. The primary commits once per
 	// millisecond.
-	behindBy time.Duration
-	// tells has the primary's gate add the newest floor to its refusals.
-	tells bool
+	applyDelay time.Duration
+	// reportFloor makes the primary's gate add the latest floor to its
+	// refusals.
+	reportFloor bool
 	// onPrimary and onReplica count the jobs.
 	onPrimary, onReplica int
 }
 
-func (r *lagRemote) position(at time.Duration) logpos.Position {
-	return logpos.Position{Term: 1, Offset: logpos.Offset(1000 + (at-r.began)/time.Millisecond)}
+func (r *delayedReplicaRemote) position(at time.Duration) logpos.Position {
+	return logpos.Position{Term: 1, Offset: logpos.Offset(1000 + (at-r.startedAt)/time.Millisecond)}
 }
 
-func (r *lagRemote) Run(_ context.Context, _, _ string, j Job) Result {
+func (r *delayedReplicaRemote) Run(_ context.Context, _, _ string, j Job) Result {
 	if j.Member == "primary" {
 		r.onPrimary++
 		res := Result{Err: &RefusedError{Reason: "too many statements wait for the member", RetryAfter: time.Second}}
-		if r.tells {
-			res.Floor = Floor{Position: r.position(clock.Now()), Sent: clock.Now(), Lead: Lead{Primary: "primary", Term: 1}}
+		if r.reportFloor {
+			res.Floor = Floor{Position: r.position(clock.Now()), AsOf: clock.Now(), Leadership: Leadership{Primary: "primary", Term: 1}}
 		}
 		return res
 	}
 	if j.Floor.IsZero() {
-		return Result{Err: errUnbounded}
+		return Result{Err: errNoFloor}
 	}
 	r.onReplica++
-	held := r.position(clock.Now() - r.behindBy)
-	if held.Less(j.Floor) {
-		return Result{Answer: statement.Answer{Code: statement.Behind, Position: held}}
+	position := r.position(clock.Now() - r.applyDelay)
+	if position.Less(j.Floor) {
+		return Result{Answer: statement.Answer{Code: statement.Behind, Position: position}}
 	}
-	return Result{Answer: statement.Answer{Code: statement.OK, Signature: "s", Position: held}, Tx: 1}
+	return Result{Answer: statement.Answer{Code: statement.OK, Signature: "s", Position: position}, Tx: 1}
 }
 
-func (r *lagRemote) Alive(context.Context, string) bool { return true }
+func (r *delayedReplicaRemote) Alive(context.Context, string) bool { return true }
 
-func (*lagRemote) Drop(string) {}
+func (*delayedReplicaRemote) Drop(string) {}
 
-// laggedSet returns a set whose primary has no room and whose replica is
-// behind, with the floors of the last 900 ms.
-func laggedSet(r *lagRemote) *Set {
+// setWithLaggingReplica returns a set with an overloaded primary, a lagging
+// replica and the floors of the last 900 ms.
+func setWithLaggingReplica(r *delayedReplicaRemote) *Set {
 	s := New(Config{Service: "svc", Remote: r, Host: "h0", Log: zerolog.Nop()})
 	hosts := []gates.Host{{Name: "h0", Zone: "far", Address: "a0"}, {Name: "h1", Zone: "near", Address: "a1"}, {Name: "h2", Zone: "near", Address: "a2"}}
 	entry := func(id string) directory.Member {
 		return directory.Member{Entry: directory.Entry{ID: id, Service: "svc", Zone: "near", Slots: 2}}
 	}
 	s.Update([]directory.Member{entry("primary"), entry("replica")}, catalog.Service{MaxConnections: 16}, gates.NewFleet(hosts, nil))
-	for at := r.began - 900*time.Millisecond; at <= r.began; at += 20 * time.Millisecond {
-		s.LearnFloor(Floor{Position: r.position(at), Sent: at, Lead: Lead{Primary: "primary", Term: 1}})
+	for at := r.startedAt - 900*time.Millisecond; at <= r.startedAt; at += 20 * time.Millisecond {
+		s.ObserveFloor(Floor{Position: r.position(at), AsOf: at, Leadership: Leadership{Primary: "primary", Term: 1}})
 	}
 	return s
 }
 
-// lateRead is a read that may be 500 ms old and has the given time.
-func lateRead(patience time.Duration) Work {
+// boundedRead500ms returns a read with a staleness bound of 500 ms and the
+// given time to start.
+func boundedRead500ms(startWithin time.Duration) Request {
 	now := clock.Now()
-	return Work{
+	return Request{
 		Statement: statement.Statement{Kind: statement.Read, ID: "r"}, ReadOnly: true,
 		Route:    catalog.Route{Consistency: catalog.BoundedStaleness, MaxStaleness: 500 * time.Millisecond},
-		Received: now, AimBy: now + 100*time.Millisecond, FreshBy: now + 50*time.Millisecond,
-		StartBy: now + patience, EndBy: now + patience + time.Second,
+		Received: now, TargetDeadline: now + 100*time.Millisecond, OnTimeUntil: now + 50*time.Millisecond,
+		StartDeadline: now + startWithin, Deadline: now + startWithin + time.Second,
 	}
 }
 
-// TestReadWaitsForAReplicaThatCatchesUp: the primary has no room, and the
-// replica applies 300 ms late. It holds the caller's last commit after that, and
-// the read is served then, after few tries.
-func TestReadWaitsForAReplicaThatCatchesUp(t *testing.T) {
+// TestReadWaitsForReplicaToCatchUp checks that a read of the caller's own
+// commit waits for a lagging replica while the primary is overloaded, instead
+// of polling it.
+func TestReadWaitsForReplicaToCatchUp(t *testing.T) {
 	for _, c := range []struct {
 		name string
-		run  func(*Set, Work) Outcome
+		run  func(*Set, Request) Outcome
 	}{
-		{"read", func(s *Set, w Work) Outcome { return s.Read(context.Background(), w) }},
-		{"begin", func(s *Set, w Work) Outcome {
-			tx, out := s.Begin(context.Background(), w)
+		{"read", func(s *Set, req Request) Outcome { return s.Read(context.Background(), req) }},
+		{"begin", func(s *Set, req Request) Outcome {
+			tx, out := s.Begin(context.Background(), req)
 			require.NotNil(t, tx)
 			return out
 		}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			r := &lagRemote{began: clock.Now(), behindBy: 300 * time.Millisecond}
-			w := lateRead(2 * time.Second)
-			w.Committed = r.position(r.began)
-			out := c.run(laggedSet(r), w)
+			r := &delayedReplicaRemote{startedAt: clock.Now(), applyDelay: 300 * time.Millisecond}
+			req := boundedRead500ms(2 * time.Second)
+			req.LastCommit = r.position(r.startedAt)
+			out := c.run(setWithLaggingReplica(r), req)
 			require.Equal(t, statement.OK, out.Answer.Code, out.Cause)
 			require.Equal(t, "replica", out.Member)
-			require.Positive(t, out.Held)
+			require.Positive(t, out.ReplicaWait)
 			require.Equal(t, 1, r.onPrimary)
 			require.LessOrEqual(t, r.onReplica, 4)
 		})
 	}
 }
 
-// TestReadThatNoReplicaServesInTimeIsRefusedAtOnce: a final answer is not held
-// back by a hope that cannot come true: of a replica that is behind by more than
-// the read may be old, or of one that catches up too late.
-func TestReadThatNoReplicaServesInTimeIsRefusedAtOnce(t *testing.T) {
-	r := &lagRemote{began: clock.Now(), behindBy: 700 * time.Millisecond}
-	own := lateRead(100 * time.Millisecond)
-	own.Committed = r.position(r.began)
-	for _, w := range []Work{lateRead(2 * time.Second), own} {
-		out := laggedSet(r).Read(context.Background(), w)
+// TestReadRefusedImmediatelyWhenNoReplicaCatchesUp guards against delaying a
+// refusal for a replica that cannot reach the floor in time.
+func TestReadRefusedImmediatelyWhenNoReplicaCatchesUp(t *testing.T) {
+	r := &delayedReplicaRemote{startedAt: clock.Now(), applyDelay: 700 * time.Millisecond}
+	readOwnCommit := boundedRead500ms(100 * time.Millisecond)
+	readOwnCommit.LastCommit = r.position(r.startedAt)
+	for _, req := range []Request{boundedRead500ms(2 * time.Second), readOwnCommit} {
+		out := setWithLaggingReplica(r).Read(context.Background(), req)
 		require.Equal(t, statement.Busy, out.Answer.Code)
 		require.Contains(t, out.Answer.Detail, "retry after")
-		require.Zero(t, out.Held)
+		require.Zero(t, out.ReplicaWait)
 	}
 }
 
-// TestReplicaThatIsBehindIsNotAskedAgainAtOnce: however little is known of the
-// log, a replica gets a moment to catch up between two tries.
-func TestReplicaThatIsBehindIsNotAskedAgainAtOnce(t *testing.T) {
-	r := &lagRemote{began: clock.Now(), behindBy: 100 * time.Millisecond}
-	s := laggedSet(r)
-	w := lateRead(2 * time.Second)
-	// The caller's own commit is the newest known.
-	w.Committed = r.position(r.began)
-	out := s.Read(context.Background(), w)
+// TestLaggingReplicaNotRetriedImmediately guards against polling a lagging
+// replica without a pause.
+func TestLaggingReplicaNotRetriedImmediately(t *testing.T) {
+	r := &delayedReplicaRemote{startedAt: clock.Now(), applyDelay: 100 * time.Millisecond}
+	s := setWithLaggingReplica(r)
+	req := boundedRead500ms(2 * time.Second)
+	// The caller's own commit is the latest known position.
+	req.LastCommit = r.position(r.startedAt)
+	out := s.Read(context.Background(), req)
 	require.Equal(t, statement.OK, out.Answer.Code, out.Cause)
-	require.GreaterOrEqual(t, out.Held, 30*time.Millisecond)
+	require.GreaterOrEqual(t, out.ReplicaWait, 30*time.Millisecond)
 	require.LessOrEqual(t, r.onReplica, 4)
 }
 
-// TestRefusalOfAFullPrimaryTellsAFloor: a host whose statements all find the
-// primary full knows nothing of its log. The refusal tells it what the gate
-// knows, and a replica serves the read.
-func TestRefusalOfAFullPrimaryTellsAFloor(t *testing.T) {
-	r := &lagRemote{began: clock.Now() - 2*time.Second, tells: true}
-	s := laggedSet(r)
-	out := s.Read(context.Background(), lateRead(2*time.Second))
+// TestOverloadRefusalCarriesFloor checks that a host whose statements are all
+// refused by an overloaded primary learns a floor from the refusal and reads
+// from a replica.
+func TestOverloadRefusalCarriesFloor(t *testing.T) {
+	r := &delayedReplicaRemote{startedAt: clock.Now() - 2*time.Second, reportFloor: true}
+	s := setWithLaggingReplica(r)
+	out := s.Read(context.Background(), boundedRead500ms(2*time.Second))
 	require.Equal(t, statement.OK, out.Answer.Code, out.Cause)
 	require.Equal(t, "replica", out.Member)
 	require.Equal(t, 1, r.onPrimary)
-	r.tells = false
-	out = laggedSet(r).Read(context.Background(), lateRead(2*time.Second))
+	r.reportFloor = false
+	out = setWithLaggingReplica(r).Read(context.Background(), boundedRead500ms(2*time.Second))
 	require.Equal(t, statement.Busy, out.Answer.Code, "without a floor only the primary can serve")
 }
 
-// TestFullPrimaryIsAskedOnceForARead replays a group whose replicas are too far
-// behind, in a large fleet: the primary is offered twice what it runs, and its
-// refusals tell a floor that no replica holds. Each read that went on asking it,
-// six times in 100 ms, took the processors of the hosts that keep its connections.
-func TestFullPrimaryIsAskedOnceForARead(t *testing.T) {
-	r := &lagRemote{began: clock.Now(), behindBy: 900 * time.Millisecond, tells: true}
-	out := laggedSet(r).Read(context.Background(), lateRead(2*time.Second))
+// TestOverloadedPrimaryAskedOncePerRead guards against repeated requests to an
+// overloaded primary when no replica has reached the floor.
+func TestOverloadedPrimaryAskedOncePerRead(t *testing.T) {
+	r := &delayedReplicaRemote{startedAt: clock.Now(), applyDelay: 900 * time.Millisecond, reportFloor: true}
+	out := setWithLaggingReplica(r).Read(context.Background(), boundedRead500ms(2*time.Second))
 	require.Equal(t, statement.Busy, out.Answer.Code)
 	require.Contains(t, out.Answer.Detail, "retry after 1000 ms", "the refusal says when the primary expects room")
 	require.Equal(t, 1, r.onPrimary)
 	require.LessOrEqual(t, r.onReplica, 1)
 
-	// Without a floor of its own the host hears one with the refusal.
-	r = &lagRemote{began: clock.Now() - 2*time.Second, behindBy: 900 * time.Millisecond, tells: true}
-	out = laggedSet(r).Read(context.Background(), lateRead(2*time.Second))
+	// A host without a floor learns one from the refusal.
+	r = &delayedReplicaRemote{startedAt: clock.Now() - 2*time.Second, applyDelay: 900 * time.Millisecond, reportFloor: true}
+	out = setWithLaggingReplica(r).Read(context.Background(), boundedRead500ms(2*time.Second))
 	require.Equal(t, statement.Busy, out.Answer.Code)
 	require.Contains(t, out.Answer.Detail, "retry after 1000 ms")
 	require.Equal(t, 1, r.onPrimary)
--- a/node/replicaset/member.go
+++ b/node/replicaset/member.go
@@ -18,8 +18,8 @@
 	"github.com/dotterelswitch/dotterelswitch/core/worktime"
 )
 
-// answerSmoothing is the weight of a new sample in the mean answer time.
-const answerSmoothing = 0.15
+// responseTimeSmoothing is the weight of a new sample in the moving average.
+const responseTimeSmoothing = 0.15
 
 // Member is one member of a group, with this host's connections to it.
 type Member struct {
@@ -27,43 +27,47 @@
 	set                  *Set
 	log                  zerolog.Logger
 
-	// mu guards the fields below. Nothing is called out while it is held.
-	mu      sync.Mutex
-	entry   directory.Member
-	pool    *connpool.Pool
-	conns   map[connpool.ConnID]*Conn
-	waiters map[uint64]chan grant
-	nextID  uint64
-	health  health.MemberDetector
-	answer  time.Duration
-	// times tells the kinds of statements, which are the databases, apart.
-	times   worktime.Times
-	removed bool
-	// held is the end of its log when that was last seen, at heldAt.
-	held   logpos.Position
-	heldAt time.Duration
-	// share names the hosts that keep this member's connections, unless this one
-	// does; elsewhere counts the statements that run there.
-	share     gates.Share
-	elsewhere int
-	// restarted is the version of the role that a new life of the member began
-	// with; zero for a first life. What it says of its role then is not believed.
-	restarted store.Revision
-	// absentUntil is until when the member is not asked, because another one
-	// answered at its address.
-	absentUntil time.Duration
-	// detours are hosts that reach the member while this one does not, known until
-	// detoursUntil.
+	// mu guards the fields below. No other lock is taken while it is held.
+	mu           sync.Mutex
+	entry        directory.Member
+	pool         *connpool.Pool
+	conns        map[connpool.ConnID]*Conn
+	waiters      map[uint64]chan grant
+	nextID       uint64
+	health       health.MemberDetector
+	responseTime time.Duration
+	// workTimes tracks execution times by kind of statement, which is its
+	// database.
+	workTimes worktime.Times
+	removed   bool
+	// position is the latest known end of the member's log, observed at
+	// positionAt.
+	position   logpos.Position
+	positionAt time.Duration
+	// share lists the gates of the member if this host is not one of them;
+	// remoteInFlight counts the statements that run there.
+	share          gates.Share
+	remoteInFlight int
+	// restartRevision is the revision of the role that the member had when it
+	// restarted; zero before a first restart. A primary claim is ignored unless
+	// it is newer.
+	restartRevision store.Revision
+	// wrongMemberUntil is the end of the backoff after another member answered
+	// at this one's address.
+	wrongMemberUntil time.Duration
+	// detours are hosts that can reach the member while this one cannot, valid
+	// until detoursUntil.
 	detours      []string
 	detoursUntil time.Duration
-	// deadUntil is how long the word of a gate counts that the member is dead.
-	deadUntil time.Duration
-	// corroborated tells that another host has called the member dead.
+	// reportedDeadUntil is the end of validity of a gate's report that the
+	// member is dead.
+	reportedDeadUntil time.Duration
+	// corroborated is set while another host also considers the member dead.
 	corroborated bool
-	// openTimer has the pool asked again when a pause ends, surplusTimer when
-	// an idle connection is to be closed; nil while none is set.
-	openTimer    *time.Timer
-	surplusTimer *time.Timer
+	// openTimer retries opening connections after a backoff; idleTimer closes
+	// expired idle connections. Each is nil while not armed.
+	openTimer *time.Timer
+	idleTimer *time.Timer
 }
 
 func newMember(s *Set, e directory.Member, share gates.Share) *Member {
@@ -72,54 +76,55 @@
 		log:  s.log.With().Str("upstream", e.ID).Logger(),
 		pool: connpool.New(share.Limits), share: share, conns: map[connpool.ConnID]*Conn{}, waiters: map[uint64]chan grant{},
 	}
-	m.health.TimeoutsOnly = !s.without.Enabled(mechanism.ObservedSilence)
+	m.health.TimeoutsOnly = !s.disabled.Enabled(mechanism.ObservedSilence)
 	return m
 }
 
-// ID returns the member's name.
 func (m *Member) ID() string { return m.id }
 
-// holds notes the end of the member's log in an answer.
-func (m *Member) holds(p logpos.Position, now time.Duration) {
+// observePosition records the end of the member's log.
+func (m *Member) observePosition(p logpos.Position, now time.Duration) {
 	if p.IsZero() {
 		return
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.held, m.heldAt = p, now
+	m.position, m.positionAt = p, now
 }
 
-// lastHeld returns the end of the member's log when it was last seen.
-func (m *Member) lastHeld() (logpos.Position, time.Duration) {
+// lastPosition returns the latest known end of the member's log and when it was
+// observed.
+func (m *Member) lastPosition() (logpos.Position, time.Duration) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.held, m.heldAt
+	return m.position, m.positionAt
 }
 
-// candidate describes the member for the choice of a read's target.
+// candidate describes the member for load balancing.
 func (m *Member) candidate(primary string, now time.Duration) balance.Candidate {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return balance.Candidate{
-		ID: m.id, Primary: m.id == primary, RoundTrip: m.set.places.RoundTrip(m.entry.Zone),
-		ResponseTime: m.answer, InUse: m.pool.InUse() + m.elsewhere, Waiting: m.pool.Waiting(),
+		ID: m.id, Primary: m.id == primary, RoundTrip: m.set.topology.RoundTrip(m.entry.Zone),
+		ResponseTime: m.responseTime, InUse: m.pool.InUse() + m.remoteInFlight, Waiting: m.pool.Waiting(),
 		HasIdleConn: m.pool.Idle() > 0 || len(m.share.GateAddresses) > 0,
 		Slots:       m.entry.Slots, Suspect: m.health.Suspect(now), Unregistered: m.entry.Missing,
 	}
 }
 
-// remove ends the use of a member that is gone. Statements that run go on.
+// remove stops the use of a member that is gone. Statements in progress
+// continue.
 func (m *Member) remove() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.removed = true
 	m.closeIdle()
-	m.sendAway(&RefusedError{Reason: "the member has left"})
+	m.refuseWaiters(&RefusedError{Reason: "the member has left"})
 }
 
-// sendAway ends the wait of all that wait for a connection. It is called with mu
-// held.
-func (m *Member) sendAway(err error) {
+// refuseWaiters fails all requests that wait for a connection. It is called
+// with mu held.
+func (m *Member) refuseWaiters(err error) {
 	for id, ch := range m.waiters {
 		if m.pool.CancelWait(id) {
 			delete(m.waiters, id)
@@ -128,29 +133,32 @@
 	}
 }
 
-// superseded sends away what waits for the member as a primary that it is not any
-// more. Fault pattern: a primary goes dark, and statements wait for connections to
-// it that do not come; the next primary would serve them.
-func (m *Member) superseded() {
+// demoted fails the requests that wait for a connection to a former primary, so
+// that they can move to the new one.
+func (m *Member) demoted() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.sendAway(&RefusedError{Reason: "another member leads now"})
+	m.refuseWaiters(&RefusedError{Reason: "another member leads now"})
 }
 
-// sameLife reports whether an entry is of the life that this member stands for.
-func (m *Member) sameLife(e directory.Member) bool { return m.snapshot().SameIncarnation(e.Entry) }
+// sameIncarnation reports whether an entry belongs to the incarnation that this
+// member represents.
+func (m *Member) sameIncarnation(e directory.Member) bool {
+	return m.snapshot().SameIncarnation(e.Entry)
+}
 
-// mayClaim reports whether an entry in which the member calls itself primary is
-// to be believed. A member that has just started again may have lost its log;
-// it has to prove its lead.
-func (m *Member) mayClaim(e directory.Member) bool {
+// acceptsPrimaryClaim reports whether to trust an entry that claims the primary
+// role. A member that has restarted may have lost its log and has to prove its
+// leadership.
+func (m *Member) acceptsPrimaryClaim(e directory.Member) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return e.RoleRevision > m.restarted
+	return e.RoleRevision > m.restartRevision
 }
 
-// Life names the member's present life, for what hosts tell each other of it.
-func (m *Member) Life() string {
+// Incarnation identifies the member's current incarnation in messages between
+// hosts.
+func (m *Member) Incarnation() string {
 	e := m.snapshot()
 	if e.StartedAt == 0 {
 		return m.id
@@ -158,37 +166,40 @@
 	return m.id + "@" + strconv.FormatUint(uint64(e.StartedAt), 10)
 }
 
-// end ends the use of a life that is over, with what still runs on it.
-func (m *Member) end() {
+// terminate stops the use of a past incarnation and closes its connections,
+// also those in use.
+func (m *Member) terminate() {
 	m.remove()
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	for _, c := range m.conns {
-		// Its user takes the broken connection out of the pool.
-		_ = c.net.Close()
+		// The user of the connection removes it from the pool.
+		_ = c.netConn.Close()
 	}
 }
 
-// absentFor is how long a member is not asked after another one answered at its
-// address: its entry lapses within a few heartbeats, or it has started again
-// there. Each attempt would cost the other one a login, 12 to 27 ms of a slot.
-const absentFor = time.Second
+// wrongMemberBackoff is how long a member is not contacted after another one
+// answered at its address. Each attempt would cost the other member a login;
+// meanwhile the entry expires or the member registers again.
+const wrongMemberBackoff = time.Second
 
-// missed notes that another member answered at this one's address.
-func (m *Member) missed(now time.Duration) {
+// observeWrongMember records that another member answered at this one's
+// address.
+func (m *Member) observeWrongMember(now time.Duration) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.absentUntil = now + absentFor
+	m.wrongMemberUntil = now + wrongMemberBackoff
 }
 
-// absent reports whether another member has just answered at this one's address.
-func (m *Member) absent(now time.Duration) bool {
+// wrongMemberAnswers reports whether another member has recently answered at
+// this one's address.
+func (m *Member) inWrongMemberBackoff(now time.Duration) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return now < m.absentUntil
+	return now < m.wrongMemberUntil
 }
 
-// update takes a newer entry and limits.
+// update applies a newer entry and share.
 func (m *Member) update(e directory.Member, share gates.Share) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -197,31 +208,31 @@
 	m.share = share
 }
 
-// gateAddresses returns the hosts to send this host's statements to, the best
-// first; none when this host keeps connections of its own.
+// gateAddresses returns the gates that this host sends statements to, in order
+// of preference; none if this host keeps its own connections.
 func (m *Member) gateAddresses() []string {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.share.GateAddresses
 }
 
-// keepsConnections reports whether this host is one of those that keep the
-// member's connections.
+// keepsConnections reports whether this host is a gate of the member.
 func (m *Member) keepsConnections() bool { return len(m.gateAddresses()) == 0 }
 
-// remoteStarted and remoteEnded count the statements that run elsewhere.
+// remoteStarted and remoteEnded track the statements in progress on other
+// hosts.
 func (m *Member) remoteStarted() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.elsewhere++
+	m.remoteInFlight++
 }
 
 func (m *Member) remoteEnded(began, now time.Duration, ran bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.elsewhere--
+	m.remoteInFlight--
 	if ran {
-		m.answer += time.Duration(answerSmoothing * float64(now-began-m.answer))
+		m.responseTime += time.Duration(responseTimeSmoothing * float64(now-began-m.responseTime))
 	}
 }
 
@@ -231,11 +242,12 @@
 	return m.entry
 }
 
-// Leaving reports whether the member has announced its end.
+// Leaving reports whether the member has announced its shutdown.
 func (m *Member) Leaving() bool { return m.snapshot().Leaving }
 
-// hasIdle reports whether a connection is free.
-func (m *Member) hasIdle() bool {
+// hasIdleConn reports whether an idle connection is available, here or through
+// a gate.
+func (m *Member) hasIdleConn() bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.pool.Idle() > 0 || len(m.share.GateAddresses) > 0
--- a/node/replicaset/member_health.go
+++ b/node/replicaset/member_health.go
@@ -9,200 +9,203 @@
 	"github.com/dotterelswitch/dotterelswitch/node/eventlog"
 )
 
-// answered notes an answer to something sent at the given time.
-func (m *Member) answered(sent, now time.Duration, a statement.Answer, kind string) {
+// responseReceived records an answer to a request sent at the given time.
+func (m *Member) responseReceived(sent, now time.Duration, a statement.Answer, kind string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.health.ResponseReceived(sent, now)
 	if a.Signature != "" {
 		m.pool.ObserveResponse(now - sent)
-		m.times.Observe(kind, now-sent, now)
-		m.answer += time.Duration(answerSmoothing * float64(now-sent-m.answer))
+		m.workTimes.Observe(kind, now-sent, now)
+		m.responseTime += time.Duration(responseTimeSmoothing * float64(now-sent-m.responseTime))
 	}
 }
 
-// asked notes that something is sent that the member should answer.
-func (m *Member) asked(now time.Duration) {
+// requestSent records a request that the member should answer.
+func (m *Member) requestSent(now time.Duration) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.health.RequestSent(now)
 }
 
-// dialled notes that a connection to the member is tried.
-func (m *Member) dialled(now time.Duration) {
+// dialStarted records a connection attempt.
+func (m *Member) dialStarted(now time.Duration) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.health.DialStarted(now)
 }
 
-// connected notes that a connection stands and that the login is sent.
-func (m *Member) connected(now time.Duration) {
+// dialSucceeded records that the connection is established and the login is
+// being sent.
+func (m *Member) dialSucceeded(now time.Duration) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.health.DialSucceeded(now)
 }
 
-// listens notes that the member's machine took a connection.
-func (m *Member) listens() {
+// probeAccepted records that the member's machine accepted a connection.
+func (m *Member) probeAccepted() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.health.ProbeAccepted()
 }
 
-// failed notes an exchange without an answer.
-func (m *Member) failed(sent time.Duration, how failure) {
+// exchangeFailed records a request or connection attempt that got no answer.
+func (m *Member) exchangeFailed(sent time.Duration, kind failureKind) {
 	m.mu.Lock()
-	was := m.health.Failing()
-	switch how {
-	case failureSilent:
+	wasFailing := m.health.Failing()
+	switch kind {
+	case failureTimeout:
 		m.health.ExchangeTimedOut(sent)
 	case failureRefused:
 		m.health.ConnectionRefused(sent, clock.Now())
 	default:
 		m.health.ConnectionBroken(sent, clock.Now())
 	}
-	now := m.health.Failing()
+	isFailing := m.health.Failing()
 	m.mu.Unlock()
-	if now && !was {
-		eventlog.UpstreamSuspected.Warn(m.log).Bool("silent", how == failureSilent).Send()
-		m.set.wake()
-		m.set.suspected()
+	if isFailing && !wasFailing {
+		eventlog.UpstreamSuspected.Warn(m.log).Bool("silent", kind == failureTimeout).Send()
+		m.set.requestProbe()
+		m.set.notifySuspect()
 	}
 }
 
-// Dead reports whether this host's evidence makes the member count as dead.
+// Dead reports whether this host considers the member dead.
 func (m *Member) Dead(now time.Duration) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return now < m.absentUntil || m.health.Dead(now, m.corroborated)
+	return now < m.wrongMemberUntil || m.health.Dead(now, m.corroborated)
 }
 
-// Corroborate notes whether another host has called the member dead.
-func (m *Member) Corroborate(by bool) {
+// SetCorroborated records whether another host considers the member dead.
+func (m *Member) SetCorroborated(corroborated bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.corroborated = by
+	m.corroborated = corroborated
 }
 
-// gateWordFor is how long a gate's word counts that a member is dead: about as
-// long as a dead member is probed again.
-const gateWordFor = 300 * time.Millisecond
+// gateReportTTL is how long a gate's report of a dead member is valid, about
+// the interval at which a dead member is probed.
+const gateReportTTL = 300 * time.Millisecond
 
-// reportedDead notes that a gate has found the member dead. It only keeps
-// statements from it: a report to other hosts needs evidence of this host.
+// reportedDead records that a gate considers the member dead. This only diverts
+// statements: a report to other hosts needs this host's own evidence.
 func (m *Member) reportedDead(now time.Duration) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.deadUntil = now + gateWordFor
+	m.reportedDeadUntil = now + gateReportTTL
 }
 
-// unusable reports whether no way to the member is known that may work.
-func (m *Member) unusable(now time.Duration) bool {
+// unreachable reports whether neither this host nor a detour is likely to reach
+// the member.
+func (m *Member) unreachable(now time.Duration) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if now < m.absentUntil {
+	if now < m.wrongMemberUntil {
 		return true
 	}
 	switch {
 	case m.health.Dead(now, m.corroborated):
 		return now >= m.detoursUntil
-	case now < m.deadUntil:
-		return !m.reached(now)
+	case now < m.reportedDeadUntil:
+		return !m.recentlyReached(now)
 	}
 	return false
 }
 
-// reachedLately is how old an answer of a member may be for it to count as reached
-// although others have lost it.
-const reachedLately = time.Second
+// recentContactWindow is the maximum age of an answer with which a member
+// counts as reachable although other hosts have lost it.
+const recentContactWindow = time.Second
 
-// reached reports whether the member has answered this host lately. It is called
-// with mu held.
-func (m *Member) reached(now time.Duration) bool {
+// recentlyReached reports whether the member has recently answered this host.
+// It is called with mu held.
+func (m *Member) recentlyReached(now time.Duration) bool {
 	last := m.health.LastSuccess()
-	return last > 0 && now-last < reachedLately
+	return last > 0 && now-last < recentContactWindow
 }
 
-// Reached reports whether the member has answered this host lately and counts as
-// living here.
-func (m *Member) Reached(now time.Duration) bool {
+// Reachable reports whether the member has recently answered this host and is
+// not considered dead.
+func (m *Member) Reachable(now time.Duration) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.reached(now) && !m.health.Dead(now, m.corroborated)
+	return m.recentlyReached(now) && !m.health.Dead(now, m.corroborated)
 }
 
-// route returns the hosts to send a team's statement for the member to, the best
-// first; none for this host itself.
+// route returns the hosts to send a team's statement to, in order of
+// preference; none for this host itself.
 func (m *Member) route(team string, now time.Duration) []string {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	switch {
 	case m.health.Dead(now, m.corroborated) && now < m.detoursUntil:
 		return m.detours
-	case now < m.deadUntil && m.reached(now):
+	case now < m.reportedDeadUntil && m.recentlyReached(now):
 		return nil
-	case team != "" && m.set.without.Enabled(mechanism.TeamGates):
+	case team != "" && m.set.disabled.Enabled(mechanism.TeamGates):
 		return m.share.RouteOf(team, m.id, m.set.host)
 	}
 	return m.share.GateAddresses
 }
 
-// detourFor is how long other hosts count as reaching a member: several questions
-// to them.
-const detourFor = 500 * time.Millisecond
+// detourTTL is how long a detour is valid. It spans several rounds of requests
+// to the other hosts.
+const detourTTL = 500 * time.Millisecond
 
-// Detour notes which other hosts reach a member that this one has lost.
-func (s *Set) Detour(member string, hosts []string, now time.Duration) {
+// SetDetours records which other hosts can reach a member that this one cannot.
+func (s *Set) SetDetours(member string, hosts []string, now time.Duration) {
 	m, known := s.Member(member)
 	if !known || len(hosts) == 0 {
 		return
 	}
 	m.mu.Lock()
-	first := now >= m.detoursUntil
-	m.detours, m.detoursUntil = hosts, now+detourFor
+	expired := now >= m.detoursUntil
+	m.detours, m.detoursUntil = hosts, now+detourTTL
 	m.mu.Unlock()
-	if first {
+	if expired {
 		eventlog.DetourTaken.Info(m.log).Strs("hosts", hosts).Send()
 	}
 }
 
-// LastAlive returns when the newest thing that the member answered was sent.
-func (m *Member) LastAlive() time.Duration {
+// LastSuccess returns the send time of the latest request that the member
+// answered.
+func (m *Member) LastSuccess() time.Duration {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.health.LastSuccess()
 }
 
-// Doubtful reports whether the newest exchange with the member failed, or it is
-// silent for longer than it usually is.
-func (m *Member) Doubtful(now time.Duration) bool {
+// Suspect reports whether the latest exchange with the member failed or the
+// member has been silent for unusually long.
+func (m *Member) Suspect(now time.Duration) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.health.Suspect(now)
 }
 
-// expireDoubt ends a doubt for which there is no newer evidence.
-func (m *Member) expireDoubt(now time.Duration) {
+// expireEvidence clears a suspicion that has no recent evidence.
+func (m *Member) expireEvidence(now time.Duration) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.health.ExpireEvidence(now)
 }
 
-// refusing reports whether the member's machine refused the newest connection.
+// refusing reports whether the member's machine refused the latest connection.
 func (m *Member) refusing() bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.health.Refusing()
 }
 
-// resumed notes that this host itself stood still until now.
+// resumed records that this process was suspended until now.
 func (m *Member) resumed(now time.Duration) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.health.Resumed(now)
 }
 
-// Failing reports whether the newest exchange with the member failed.
+// Failing reports whether the latest exchange with the member failed.
 func (m *Member) Failing() bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/node/replicaset/member_pool.go
+++ b/node/replicaset/member_pool.go
@@ -12,16 +12,16 @@
 	"github.com/dotterelswitch/dotterelswitch/node/eventlog"
 )
 
-// grant is what a waiter is told: a connection, or that it waits in vain.
+// grant is the result of a wait for a connection.
 type grant struct {
 	conn *Conn
 	err  error
 }
 
-// acquire takes a connection, waiting for it as long as the waiter allows.
+// acquire takes a connection, waiting as long as the waiter allows.
 func (m *Member) acquire(ctx context.Context, w connpool.Waiter) (*Conn, error) {
 	for {
-		conn, ch, err := m.request(&w)
+		conn, ch, err := m.requestConn(&w)
 		if conn == nil {
 			m.set.reclaim(m)
 		}
@@ -29,7 +29,7 @@
 			return nil, err
 		}
 		if ch != nil {
-			conn, err = m.await(ctx, w, ch)
+			conn, err = m.awaitGrant(ctx, w, ch)
 			if err != nil {
 				return nil, err
 			}
@@ -43,8 +43,9 @@
 	}
 }
 
-// request asks the pool; it returns a connection or a channel to wait on.
-func (m *Member) request(w *connpool.Waiter) (*Conn, chan grant, error) {
+// requestConn asks the pool for a connection. It returns either a connection or
+// a channel to wait on.
+func (m *Member) requestConn(w *connpool.Waiter) (*Conn, chan grant, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if m.removed {
@@ -53,26 +54,25 @@
 	now := clock.Now()
 	m.nextID++
 	w.ID = m.nextID
-	if m.set.without.Enabled(mechanism.ShortFirst) {
-		w.ExtraTime = m.times.ExtraTime(w.Kind, now)
+	if m.set.disabled.Enabled(mechanism.ShortFirst) {
+		w.ExtraTime = m.workTimes.ExtraTime(w.Kind, now)
 	}
-	d := m.pool.Acquire(*w, now)
-	switch d.Outcome {
+	decision := m.pool.Acquire(*w, now)
+	switch decision.Outcome {
 	case connpool.Granted:
-		c := m.conns[d.Conn]
-		c.takenAt, c.kind = now, w.Kind
+		c := m.conns[decision.Conn]
+		c.takenAt, c.workKind = now, w.Kind
 		return c, nil, nil
 	case connpool.Refused:
-		return nil, nil, &RefusedError{Reason: eventlog.ReasonFull, RetryAfter: d.RetryAfter}
+		return nil, nil, &RefusedError{Reason: eventlog.ReasonFull, RetryAfter: decision.RetryAfter}
 	}
 	ch := make(chan grant, 1)
 	m.waiters[w.ID] = ch
-	m.openMore(now)
+	m.advancePool(now)
 	return nil, ch, nil
 }
 
-// await waits for a queued request.
-func (m *Member) await(ctx context.Context, w connpool.Waiter, ch chan grant) (*Conn, error) {
+func (m *Member) awaitGrant(ctx context.Context, w connpool.Waiter, ch chan grant) (*Conn, error) {
 	timer := time.NewTimer(w.OnTimeUntil - clock.Now())
 	defer timer.Stop()
 	for {
@@ -80,25 +80,25 @@
 		case g := <-ch:
 			return g.conn, g.err
 		case <-timer.C:
-			if wait, keep := m.keepFor(w); keep {
+			if recheckIn, keep := m.recheckAfter(w); keep {
 				m.set.reclaim(m)
-				timer.Reset(wait)
+				timer.Reset(recheckIn)
 				continue
 			}
 		case <-ctx.Done():
 		}
-		if m.leave(w) {
+		if m.cancelWait(w) {
 			return nil, &RefusedError{Reason: "no connection to the member was free in time"}
 		}
-		// The grant came at the same moment.
+		// A grant arrived concurrently.
 		g := <-ch
 		return g.conn, g.err
 	}
 }
 
-// keepFor returns how long a waiter waits until it is judged again, and false
-// when it is to be refused.
-func (m *Member) keepFor(w connpool.Waiter) (time.Duration, bool) {
+// recheckAfter returns how long a waiter waits until its next check, and false
+// if it is to be refused.
+func (m *Member) recheckAfter(w connpool.Waiter) (time.Duration, bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	now := clock.Now()
@@ -106,43 +106,44 @@
 	return at - now, keep
 }
 
-// leave takes a waiter back; it reports false when it was just granted.
-func (m *Member) leave(w connpool.Waiter) bool {
+// cancelWait removes a waiter. It returns false if the waiter has already been
+// granted a connection.
+func (m *Member) cancelWait(w connpool.Waiter) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	left := m.pool.CancelWait(w.ID)
+	cancelled := m.pool.CancelWait(w.ID)
 	delete(m.waiters, w.ID)
-	return left
+	return cancelled
 }
 
-// openMore hands out idle connections that have become usable and opens those
+// advancePool assigns idle connections to waiters and opens the connections
 // that the pool asks for. It is called with mu held.
-func (m *Member) openMore(now time.Duration) {
+func (m *Member) advancePool(now time.Duration) {
 	for {
 		id, w, found := m.pool.AssignIdle(now)
 		if !found {
 			break
 		}
-		m.hand(m.conns[id], w, now)
+		m.grantConn(m.conns[id], w, now)
 	}
 	for {
-		order, due := m.pool.BeginOpen(now)
+		openReq, due := m.pool.BeginOpen(now)
 		if !due {
 			break
 		}
-		if order.Evicts {
-			m.conns[order.Evicted].close()
-			delete(m.conns, order.Evicted)
+		if openReq.Evicts {
+			m.conns[openReq.Evicted].close()
+			delete(m.conns, openReq.Evicted)
 		}
 		m.nextID++
-		go m.open(connpool.ConnID(m.nextID), order.Team)
+		go m.openConn(connpool.ConnID(m.nextID), openReq.Team)
 	}
-	m.armTimer(now)
+	m.armOpenTimer(now)
 }
 
-// armTimer has the pool asked again when its pause ends. It is called with mu
-// held.
-func (m *Member) armTimer(now time.Duration) {
+// armOpenTimer schedules a retry for the end of the pool's backoff. It is
+// called with mu held.
+func (m *Member) armOpenTimer(now time.Duration) {
 	at := m.pool.RetryOpenAt(now)
 	if at == 0 || m.pool.Waiting() == 0 || m.openTimer != nil {
 		return
@@ -152,52 +153,52 @@
 		defer m.mu.Unlock()
 		m.openTimer = nil
 		if !m.removed {
-			m.openMore(clock.Now())
+			m.advancePool(clock.Now())
 		}
 	})
 }
 
-func (m *Member) open(id connpool.ConnID, team string) {
+func (m *Member) openConn(id connpool.ConnID, team string) {
 	sent := clock.Now()
 	conn, err := connect(context.Background(), m.set.dial, m.set.proto, m, id, team)
 	if err == nil {
-		m.opened(conn, sent)
+		m.connOpened(conn, sent)
 		return
 	}
-	var ce *ConnectError
-	crowded := errors.As(err, &ce) && ce.Code == statement.TooManyConnections
-	refusedLogin := ce != nil && ce.Code != statement.OK
-	if refusedLogin && ce.Code == statement.WrongMember {
-		m.missed(clock.Now())
-		m.set.denied(m)
+	var connErr *ConnectError
+	atLimit := errors.As(err, &connErr) && connErr.Code == statement.TooManyConnections
+	refusedLogin := connErr != nil && connErr.Code != statement.OK
+	if refusedLogin && connErr.Code == statement.WrongMember {
+		m.observeWrongMember(clock.Now())
+		m.set.observeDenial(m)
 	}
 	eventlog.ConnectionFailed.Debug(m.log).Err(err).Send()
 	if !refusedLogin {
-		m.failed(sent, ce.Failure)
+		m.exchangeFailed(sent, connErr.Failure)
 	}
 	m.mu.Lock()
 	now := clock.Now()
 	if refusedLogin {
 		m.health.ResponseReceived(sent, now)
 	}
-	m.pool.OpenFailed(team, crowded, now)
-	if !crowded {
+	m.pool.OpenFailed(team, atLimit, now)
+	if !atLimit {
 		m.failWaiters(err)
 	}
-	m.openMore(now)
+	m.advancePool(now)
 	m.mu.Unlock()
 }
 
-// failWaiters tells all waiters that no connection can be had, so that they
-// go elsewhere. It is called with mu held.
+// failWaiters fails all waiters if no connection is open, so that they can try
+// another member. It is called with mu held.
 func (m *Member) failWaiters(err error) {
 	if m.pool.Open() > 0 {
 		return
 	}
-	m.sendAway(err)
+	m.refuseWaiters(err)
 }
 
-func (m *Member) opened(conn *Conn, sent time.Duration) {
+func (m *Member) connOpened(conn *Conn, sent time.Duration) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	now := clock.Now()
@@ -205,22 +206,23 @@
 	m.conns[conn.id] = conn
 	w, found := m.pool.Opened(connpool.Conn{ID: conn.id, Team: conn.team}, now)
 	if found {
-		m.hand(conn, w, now)
+		m.grantConn(conn, w, now)
 	}
 	if m.removed {
 		m.closeIdle()
 	}
 }
 
-// hand gives a connection to a waiter. It is called with mu held.
-func (m *Member) hand(conn *Conn, w connpool.Waiter, now time.Duration) {
-	conn.takenAt, conn.kind = now, w.Kind
+// grantConn gives a connection to a waiter. It is called with mu held.
+func (m *Member) grantConn(conn *Conn, w connpool.Waiter, now time.Duration) {
+	conn.takenAt, conn.workKind = now, w.Kind
 	ch := m.waiters[w.ID]
 	delete(m.waiters, w.ID)
 	ch <- grant{conn: conn}
 }
 
-// release returns a connection. One that is broken or not idle is closed.
+// release returns a connection to the pool. A broken connection, or one that is
+// in a transaction, is closed.
 func (m *Member) release(c *Conn) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -229,35 +231,35 @@
 		m.pool.Closed(c.team)
 		delete(m.conns, c.id)
 		c.close()
-		m.openMore(now)
+		m.advancePool(now)
 		return
 	}
 	w, found := m.pool.Released(connpool.Conn{ID: c.id, Team: c.team, SessionValues: c.valuesKey()}, now-c.takenAt, now)
 	if found {
-		m.hand(c, w, now)
+		m.grantConn(c, w, now)
 	}
-	m.openMore(now)
-	m.armSurplus(now)
+	m.advancePool(now)
+	m.armIdleTimer(now)
 }
 
-// armSurplus closes idle connections above the fair share when their time is
-// over. It is called with mu held.
-func (m *Member) armSurplus(now time.Duration) {
-	if m.surplusTimer != nil {
+// armIdleTimer schedules the closing of idle connections. It is called with mu
+// held.
+func (m *Member) armIdleTimer(now time.Duration) {
+	if m.idleTimer != nil {
 		return
 	}
 	at := m.pool.NextIdleExpiry()
 	if at == 0 {
 		return
 	}
-	m.surplusTimer = time.AfterFunc(max(at-now, 0), func() {
+	m.idleTimer = time.AfterFunc(max(at-now, 0), func() {
 		m.mu.Lock()
-		m.surplusTimer = nil
+		m.idleTimer = nil
 		m.mu.Unlock()
 		now := clock.Now()
-		m.closeSurplus(now)
+		m.closeExpiredIdle(now)
 		m.mu.Lock()
-		m.armSurplus(now)
+		m.armIdleTimer(now)
 		m.mu.Unlock()
 	})
 }
@@ -270,8 +272,9 @@
 	}
 }
 
-// closeSurplus closes the idle connections that the pool wants rid of.
-func (m *Member) closeSurplus(now time.Duration) {
+// closeExpiredIdle closes the idle connections that have passed their idle
+// timeout.
+func (m *Member) closeExpiredIdle(now time.Duration) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	for _, id := range m.pool.ExpireIdle(now) {
--- a/node/replicaset/pick_reader.go
+++ b/node/replicaset/pick_reader.go
@@ -13,210 +13,207 @@
 	"github.com/dotterelswitch/dotterelswitch/node/clock"
 )
 
-// reader is the member that a read is sent to.
+// reader is the member chosen for a read.
 type reader struct {
 	member *Member
-	// guarded tells that nothing known bounds the age of the read, so that the
-	// primary must prove its lead.
-	guarded bool
-	// unbounded tells that this host knows no floor, and that the member's gate is
-	// to find one.
-	unbounded bool
+	// verifyPrimary is set when the member must prove during the read that it
+	// is the primary: the route asks for it, or no floor is known.
+	verifyPrimary bool
+	// floorFromGate is set when this host knows no floor and the member's gate
+	// must determine one.
+	floorFromGate bool
 }
 
-// source says why a read goes to a member. It is asked before the read is sent.
+// source returns why a read goes to a member. It is called before the read is
+// sent.
 func (a *attempts) source(r reader) ReadSource {
 	switch {
-	case r.guarded && a.work.Route.Consistency == catalog.Primary:
+	case r.verifyPrimary && a.request.Route.Consistency == catalog.Primary:
 		return PrimaryByRoute
-	case r.guarded:
+	case r.verifyPrimary:
 		return PrimaryNoFloor
-	case !a.set.leads(r.member):
+	case !a.set.isBelievedPrimary(r.member):
 		return ByReplica
 	}
 	now := clock.Now()
-	floor, found := a.set.floor(a.work, now)
+	floor, found := a.set.floor(a.request, now)
 	if !found {
 		return PrimaryNoFloor
 	}
-	return whyPrimary(a.set.readers(a.work.Team, nil, floor, now))
+	return primaryReason(a.set.rankReaders(a.request.Team, nil, floor, now))
 }
 
-// whyPrimary says why the primary goes before the replicas.
-func whyPrimary(candidates []balance.Candidate) ReadSource {
-	source := PrimaryBehind
+// primaryReason returns why the primary ranks before the replicas.
+func primaryReason(candidates []balance.Candidate) ReadSource {
+	source := PrimaryReplicasLagging
 	for _, c := range candidates {
 		switch {
 		case c.Primary || c.Lagging:
 		case c.Suspect || c.Unregistered:
-			source = max(source, PrimaryDoubt)
+			source = max(source, PrimaryReplicasSuspect)
 		default:
-			source = PrimarySooner
+			source = PrimaryFaster
 		}
 	}
 	return source
 }
 
-// pickReader returns the member to read from. While the primary has no
-// connection to spare and no floor is known, other hosts are asked for what
-// they know: after a restart of all hosts the primary is the scarcest of all.
+// pickReader returns the member to read from. If no floor is known and the
+// primary has no idle connection, other hosts are asked for a floor first, to
+// spare the primary.
 //
-// A primary that has refused the read for want of room is not asked for it again.
-// Load pattern: both replicas of a group are seconds behind for 12 s, and its
-// primary is offered twice what its two slots run. Asked on until its tries were
-// over, each read that was refused took six trips, 1,000 to 2,500 a second to
-// three hosts with a fifth of a core each.
-func (a *attempts) pickReader(ctx context.Context, t *tried) (reader, error) {
+// A primary that refused the read as overloaded is not asked again for it: with
+// lagging replicas, such retries would overload the gates as well.
+func (a *attempts) pickReader(ctx context.Context, progress *readProgress) (reader, error) {
 	s := a.set
-	if m, found := a.unguardedReader(ctx, t); found {
+	if m, found := a.boundedReader(ctx, progress); found {
 		return reader{member: m}, nil
 	}
-	bounded := a.work.Route.Consistency != catalog.Primary
+	bounded := a.request.Route.Consistency != catalog.Primary
 	if bounded {
-		if m, found := a.unboundedReader(t); found {
-			return reader{member: m, unbounded: true}, nil
+		if m, found := a.gateBoundedReader(progress); found {
+			return reader{member: m, floorFromGate: true}, nil
 		}
 	}
-	if t.full != nil {
-		return reader{}, t.full
+	if progress.primaryOverload != nil {
+		return reader{}, progress.primaryOverload
 	}
-	if m, found := s.Primary(); found && (!bounded || m.hasIdle()) {
-		return reader{member: m, guarded: true}, nil
+	if m, found := s.Primary(); found && (!bounded || m.hasIdleConn()) {
+		return reader{member: m, verifyPrimary: true}, nil
 	}
-	if bounded && len(t.asked) == 0 && s.awaitFloor(ctx, a.work) {
-		if m, found := a.unguardedReader(ctx, t); found {
+	if bounded && len(progress.attempted) == 0 && s.awaitFloor(ctx, a.request) {
+		if m, found := a.boundedReader(ctx, progress); found {
 			return reader{member: m}, nil
 		}
 	}
-	m, found := s.awaitPrimary(ctx, &a.work)
+	m, found := s.awaitPrimary(ctx, &a.request)
 	if !found {
 		return reader{}, errNoPrimary
 	}
-	return reader{member: m, guarded: true}, nil
+	return reader{member: m, verifyPrimary: true}, nil
 }
 
-// unguardedReader returns the best member for a read whose age is bounded by
-// what this host knows. A read of the caller's own commit waits for a replica
-// that is behind when no other member is left.
-func (a *attempts) unguardedReader(ctx context.Context, t *tried) (*Member, bool) {
+// boundedReader returns the best member for a read whose floor this host knows.
+// If only lagging members are left, a read of the caller's own commit waits for
+// a replica to catch up.
+func (a *attempts) boundedReader(ctx context.Context, progress *readProgress) (*Member, bool) {
 	s := a.set
 	now := clock.Now()
-	floor, found := s.floor(a.work, now)
+	floor, found := s.floor(a.request, now)
 	if !found {
 		return nil, false
 	}
-	readers := s.readers(a.work.Team, t.asked, floor, now)
+	readers := s.rankReaders(a.request.Team, progress.attempted, floor, now)
 	if len(readers) > 0 && readers[0].Usable() {
 		return s.Member(readers[0].ID)
 	}
-	if m, found := a.awaitReplica(ctx, t, floor, now); found {
+	if m, found := a.awaitReplica(ctx, progress, floor, now); found {
 		return m, true
 	}
-	if len(readers) > 0 && (t.full == nil || !readers[0].Lagging) {
+	if len(readers) > 0 && (progress.primaryOverload == nil || !readers[0].Lagging) {
 		return s.Member(readers[0].ID)
 	}
 	return nil, false
 }
 
-// unboundedReader returns a replica for a read for which this host knows no
-// floor; the replica's gate finds one. Load pattern: 300 hosts share 20 groups,
-// so that a host has less than a statement a second for each, and its newest
-// floor is nearly always older than its reads may be. A third of all reads that
-// replicas may serve went to the primary for that, beside its writes; a gate
-// carries the reads of 50 hosts, and asks for a floor once for all of them.
-func (a *attempts) unboundedReader(t *tried) (*Member, bool) {
+// gateBoundedReader returns a replica for a read for which this host knows no
+// floor; the replica's gate determines one. In a large fleet a host sends too
+// few statements per group to know a recent floor, while a gate serves many
+// hosts and asks for a floor once for all of them.
+func (a *attempts) gateBoundedReader(progress *readProgress) (*Member, bool) {
 	s := a.set
-	if t.unbounded || !s.without.Enabled(mechanism.GateFloors) {
+	if progress.gateLacksFloor || !s.disabled.Enabled(mechanism.GateFloors) {
 		return nil, false
 	}
 	now := clock.Now()
-	readers := s.readers(a.work.Team, t.asked, s.lowerBound(a.work), now)
+	readers := s.rankReaders(a.request.Team, progress.attempted, s.lowerBound(a.request), now)
 	if len(readers) == 0 || readers[0].Primary || !readers[0].Usable() {
 		return nil, false
 	}
 	return s.Member(readers[0].ID)
 }
 
-// readers returns the members that may serve a read, the best first. Members
-// that leave are passed over while there are others.
-func (s *Set) readers(team string, asked map[string]bool, floor logpos.Position, now time.Duration) []balance.Candidate {
+// rankReaders returns the members that may serve a read, in order of
+// preference. Draining members come last.
+func (s *Set) rankReaders(team string, attempted map[string]bool, floor logpos.Position, now time.Duration) []balance.Candidate {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	primary := s.belief.Primary()
-	home := s.homeOf(team, primary)
-	var staying, leaving []balance.Candidate
+	primary := s.primaryTracker.Primary()
+	preferred := s.affinityReplica(team, primary)
+	var active, draining []balance.Candidate
 	for id, m := range s.members {
 		e := m.snapshot()
-		if asked[id] || s.pastDrain(e, now) || m.absent(now) {
+		if attempted[id] || s.pastDrain(e, now) || m.inWrongMemberBackoff(now) {
 			continue
 		}
 		c := m.candidate(primary, now)
-		c.AffinityElsewhere = home != "" && id != home && id != primary
-		c.Lagging = id != primary && s.replica(m, floor).ShouldSkip(now)
+		c.AffinityElsewhere = preferred != "" && id != preferred && id != primary
+		c.Lagging = id != primary && s.replicaState(m, floor).ShouldSkip(now)
 		if e.Leaving {
-			leaving = append(leaving, c)
+			draining = append(draining, c)
 		} else {
-			staying = append(staying, c)
+			active = append(active, c)
 		}
 	}
-	return append(balance.Rank(staying), balance.Rank(leaving)...)
+	return append(balance.Rank(active), balance.Rank(draining)...)
 }
 
-// homeOf returns the replica at which a team's reads meet; none where callers have
-// no team. It is called with mu held.
-func (s *Set) homeOf(team, primary string) string {
-	if team == "" || !s.without.Enabled(mechanism.TeamReplicas) {
+// affinityReplica returns the replica preferred for a team's reads; empty for
+// callers without a team. It is called with mu held.
+func (s *Set) affinityReplica(team, primary string) string {
+	if team == "" || !s.disabled.Enabled(mechanism.TeamReplicas) {
 		return ""
 	}
-	home, best := "", uint64(0)
+	preferred, bestScore := "", uint64(0)
 	for id := range s.members {
 		if id == primary {
 			continue
 		}
-		if score := membership.Score(team, id); home == "" || score > best {
-			home, best = id, score
+		if score := membership.Score(team, id); preferred == "" || score > bestScore {
+			preferred, bestScore = id, score
 		}
 	}
-	return home
+	return preferred
 }
 
-// replica describes what is known of a member's log for a read at a floor. It
-// is called with mu held.
-func (s *Set) replica(m *Member, floor logpos.Position) catchup.Replica {
-	held, seen := m.lastHeld()
-	distance, known := s.floors.Lag(held, floor)
+// replicaState describes a member's log relative to a floor. It is called with
+// mu held.
+func (s *Set) replicaState(m *Member, floor logpos.Position) catchup.Replica {
+	position, observedAt := m.lastPosition()
+	lag, known := s.floors.Lag(position, floor)
 	if !known {
-		distance = catchup.UnknownLag
+		lag = catchup.UnknownLag
 	}
-	return catchup.Replica{ID: m.id, ObservedAt: seen, HasFloor: !held.Less(floor), Lag: distance}
+	return catchup.Replica{ID: m.id, ObservedAt: observedAt, HasFloor: !position.Less(floor), Lag: lag}
 }
 
-// awaitReplica waits until a replica that is behind is expected to hold the
-// floor. It returns false at once when none will in the time of the read.
-func (a *attempts) awaitReplica(ctx context.Context, t *tried, floor logpos.Position, now time.Duration) (*Member, bool) {
-	if !a.staysAt(floor) || !a.set.without.Enabled(mechanism.ReplicaWait) {
+// awaitReplica waits until a lagging replica is expected to reach the floor. It
+// returns false immediately if none will in time.
+func (a *attempts) awaitReplica(ctx context.Context, progress *readProgress, floor logpos.Position, now time.Duration) (*Member, bool) {
+	if !a.floorIsFixed(floor) || !a.set.disabled.Enabled(mechanism.ReplicaWait) {
 		return nil, false
 	}
-	best, at, found := catchup.SoonestReady(a.set.laggards(t, floor, now), now, a.work.StartBy)
+	best, at, found := catchup.SoonestReady(a.set.awaitableReplicas(progress, floor, now), now, a.request.StartDeadline)
 	if !found || !clock.Sleep(ctx, at-now) {
 		return nil, false
 	}
-	a.out.Held += at - now
+	a.outcome.ReplicaWait += at - now
 	return a.set.Member(best.ID)
 }
 
-// laggards returns the replicas that a read may wait for.
-func (s *Set) laggards(t *tried, floor logpos.Position, now time.Duration) []catchup.Replica {
+// awaitableReplicas returns the replicas that a read may wait for.
+func (s *Set) awaitableReplicas(progress *readProgress, floor logpos.Position, now time.Duration) []catchup.Replica {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var out []catchup.Replica
 	for id, m := range s.members {
-		if id == s.belief.Primary() || t.useless[id] || m.Doubtful(now) || m.unusable(now) || m.Leaving() {
+		if id == s.primaryTracker.Primary() || progress.excluded[id] || m.Suspect(now) || m.unreachable(now) || m.Leaving() {
 			continue
 		}
-		r := s.replica(m, floor)
-		// One that was asked has said that it does not hold this very floor.
-		r.HasFloor = r.HasFloor && !t.asked[id]
+		r := s.replicaState(m, floor)
+		// A replica that was tried has answered that it has not reached this
+		// floor.
+		r.HasFloor = r.HasFloor && !progress.attempted[id]
 		out = append(out, r)
 	}
 	return out
--- a/node/replicaset/probe.go
+++ b/node/replicaset/probe.go
@@ -10,110 +10,110 @@
 )
 
 const (
-	// probeInterval spaces the probes of members in doubt. A probe takes a slot
-	// of the member for a moment.
+	// probeInterval is the interval between probes of suspected members. Each
+	// probe briefly occupies a slot of the member.
 	probeInterval = 250 * time.Millisecond
-	// TidyInterval is how often idle connections are looked over.
-	TidyInterval = time.Second
-	// controlTimeout bounds a probe or an order, the wait for a connection
-	// included.
+	// TickInterval is the interval between calls of Tick.
+	TickInterval = time.Second
+	// controlTimeout bounds a control operation, including the wait for a
+	// connection.
 	controlTimeout = 700 * time.Millisecond
-	// controlPriority is above every priority that a route can have.
+	// controlPriority ranks before every priority that a route can have.
 	controlPriority = -1
 )
 
-// Probe runs until the context ends. While the primary is unknown or a member
-// is failing it asks them for their status; traffic tells the rest.
+// Probe runs until the context ends. It asks members for their status while the
+// primary is unknown or a member is suspected; otherwise traffic is evidence
+// enough.
 func (s *Set) Probe(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-s.attention:
+		case <-s.probeRequested:
 		}
-		for s.probeDoubtful(ctx) && clock.Sleep(ctx, probeInterval) {
+		for s.probeSuspects(ctx) && clock.Sleep(ctx, probeInterval) {
 		}
 	}
 }
 
-// Tick looks over idle connections, and has members in doubt probed. It is called
-// each TidyInterval and does not wait.
+// Tick closes expired idle connections and triggers probes of suspected
+// members. It is called every TickInterval and does not block.
 func (s *Set) Tick(now time.Duration) {
 	_, known := s.Primary()
 	members := s.Members()
-	doubtful := !known && len(members) > 0
+	anySuspect := !known && len(members) > 0
 	for _, m := range members {
-		m.closeSurplus(now)
-		if !s.probes(m) {
-			m.expireDoubt(now)
+		m.closeExpiredIdle(now)
+		if !s.shouldProbe(m) {
+			m.expireEvidence(now)
 		}
-		doubtful = doubtful || m.Doubtful(now)
+		anySuspect = anySuspect || m.Suspect(now)
 	}
-	if doubtful {
-		s.wake()
+	if anySuspect {
+		s.requestProbe()
 	}
 }
 
-// probeDoubtful probes the members in doubt that are this host's to probe; it
-// reports whether there are any in doubt. Load pattern: a primary is lost, and
-// each host of a large fleet has to learn of the next one. A probe from a host
-// that keeps no connection costs the member a login, 12 to 27 ms of a slot, so
-// that a few dozen hosts would leave it nothing to serve with. They ask their
-// peers instead.
-func (s *Set) probeDoubtful(ctx context.Context) bool {
+// probeSuspects probes the suspected members that this host is responsible for,
+// and reports whether there are any suspected members. Hosts without
+// connections to a member ask their peers instead: a probe would cost the
+// member a login, and logins from a large fleet would exhaust its slots after a
+// failover.
+func (s *Set) probeSuspects(ctx context.Context) bool {
 	now := clock.Now()
 	_, known := s.Primary()
 	if !known {
-		s.askPeers(now)
+		s.requestPeerFloors(now)
 	}
-	doubtful := false
+	anySuspect := false
 	for _, m := range s.Members() {
-		if known && !m.Doubtful(now) || m.absent(now) {
+		if known && !m.Suspect(now) || m.inWrongMemberBackoff(now) {
 			continue
 		}
-		doubtful = true
-		if s.probes(m) {
-			s.Check(ctx, m)
+		anySuspect = true
+		if s.shouldProbe(m) {
+			s.RequestStatus(ctx, m)
 		}
 	}
-	return doubtful
+	return anySuspect
 }
 
-// probes reports whether a member is this host's to probe: it keeps connections
-// to it, or it votes on the loss of this primary.
-func (s *Set) probes(m *Member) bool {
+// shouldProbe reports whether this host probes a member: it is a gate of the
+// member, or it votes on the loss of this primary.
+func (s *Set) shouldProbe(m *Member) bool {
 	s.mu.Lock()
-	judges := s.votes && s.belief.Primary() == m.id
+	votes := s.isVoter && s.primaryTracker.Primary() == m.id
 	s.mu.Unlock()
-	return judges || m.keepsConnections()
+	return votes || m.keepsConnections()
 }
 
-// Check asks a member for its status without waiting. What comes of it is kept
-// in the member's health and in the belief of who leads.
-func (s *Set) Check(ctx context.Context, m *Member) {
+// RequestStatus asks a member for its status in the background. The answer
+// updates the member's health and the primary tracker.
+func (s *Set) RequestStatus(ctx context.Context, m *Member) {
 	go func() {
-		// A failure is in the member's health; there is nothing else to do.
+		// A failure is recorded in the member's health.
 		_, _ = s.Status(ctx, m)
 	}()
 }
 
 // Status asks a member for its status.
 func (s *Set) Status(ctx context.Context, m *Member) (statement.Status, error) {
-	return s.Order(ctx, m, statement.Operation{Verb: statement.ReportStatus})
+	return s.SendControl(ctx, m, statement.Operation{Verb: statement.ReportStatus})
 }
 
-// Order sends a status request or an order to a member and returns the status
-// that it answers with.
-func (s *Set) Order(ctx context.Context, m *Member, op statement.Operation) (statement.Status, error) {
+// SendControl sends a control operation to a member and returns the status that
+// it answers with.
+func (s *Set) SendControl(ctx context.Context, m *Member, op statement.Operation) (statement.Status, error) {
 	now := clock.Now()
-	until := now + controlTimeout
-	c, err := m.acquire(ctx, connpool.Waiter{AnyTeam: true, Priority: controlPriority, TargetDeadline: now, OnTimeUntil: until, StartDeadline: until})
+	deadline := now + controlTimeout
+	c, err := m.acquire(ctx, connpool.Waiter{AnyTeam: true, Priority: controlPriority, TargetDeadline: now, OnTimeUntil: deadline, StartDeadline: deadline})
 	if err != nil {
 		return statement.Status{}, err
 	}
 	defer m.release(c)
 	sent := clock.Now()
-	a, err := c.Do(op, until)
+	a, err := c.Do(op, deadline)
 	if err != nil {
 		return statement.Status{}, err
 	}
@@ -125,7 +125,7 @@
 		return st, err
 	}
 	if st.Primary {
-		s.saysToLead(m, st, a.Position, sent)
+		s.observePrimaryStatus(m, st, a.Position, sent)
 	}
 	return st, nil
 }
--- a/node/replicaset/protocol.go
+++ b/node/replicaset/protocol.go
@@ -1,6 +1,11 @@
-// Package replicaset runs statements on the members of one database group: its
-// connections, what is known of each member, who leads, and how fresh a read
-// is. The decisions are those of the core's packages; this one does the I/O.
+// Package replicaset runs statements on the members of one database group. It
+// keeps connections to the members, tracks their health and the primary, and
+// enforces the freshness of reads. Decisions are made in the packages under
+// core; this package does the I/O.
+//
+// A gate of a member is a host that keeps connections to it and runs statements
+// there for other hosts. The floor of a read is the minimum log position that
+// it must observe.
 package replicaset
 
 import (
@@ -9,14 +14,14 @@
 	"github.com/dotterelswitch/dotterelswitch/core/statement"
 )
 
-// Protocol is how members are spoken to.
+// Protocol encodes and decodes the messages of the members' wire protocol.
 type Protocol interface {
-	// EncodeLogin opens a connection in the name of a team; empty for the system's
-	// own.
+	// EncodeLogin encodes a login on behalf of a team; empty for the proxy's
+	// own connections.
 	EncodeLogin(service, team, member string) []byte
-	EncodeGoodbye() []byte
+	EncodeTerminate() []byte
 	Encode(op statement.Operation) []byte
-	ReadWelcome(r *bufio.Reader) (statement.Answer, error)
+	ReadLoginAnswer(r *bufio.Reader) (statement.Answer, error)
 	ReadAnswer(r *bufio.Reader) (statement.Answer, error)
 	DecodeStatus(a statement.Answer) (statement.Status, error)
 }
--- a/node/replicaset/read.go
+++ b/node/replicaset/read.go
@@ -14,25 +14,24 @@
 )
 
 const (
-	// primaryPause is the wait before a primary that had no room, or a new one
-	// just after a change, is asked again.
-	primaryPause = 15 * time.Millisecond
-	// guardedHold bounds the wait for a primary that has no connection for this
-	// host, for a read that a replica could serve: other hosts are asked for a
-	// floor again after it.
-	guardedHold = 150 * time.Millisecond
+	// primaryRetryDelay is the wait before a primary is tried again that
+	// refused a step, for example because it was just promoted.
+	primaryRetryDelay = 15 * time.Millisecond
+	// primaryReadWait bounds the wait for a connection to the primary for a
+	// read that a replica could serve. After it, other hosts are asked for a
+	// floor again.
+	primaryReadWait = 150 * time.Millisecond
 )
 
-// Read runs a single read.
-func (s *Set) Read(ctx context.Context, w Work) Outcome {
-	a := s.newAttempts(w)
+func (s *Set) Read(ctx context.Context, req Request) Outcome {
+	a := s.newAttempts(req)
 	if _, m := a.onReaders(ctx, JobRead); m == nil {
-		return a.refused()
+		return a.refusal()
 	}
-	return a.out
+	return a.outcome
 }
 
-// failure returns why a result is no success.
+// failure returns the error of a result that is not a success.
 func (r Result) failure(m *Member) error {
 	if r.Err != nil {
 		return r.Err
@@ -40,7 +39,8 @@
 	return &RefusedError{Reason: fmt.Sprintf("member %s answered %s", m.id, r.Answer.Code)}
 }
 
-// retryable reports whether a read with this code may be tried elsewhere.
+// retryable reports whether a step with this code may be tried again or
+// elsewhere.
 func retryable(c statement.Code) bool {
 	switch c {
 	case statement.Busy, statement.Behind, statement.ReadOnlyMember, statement.WrongMember,
@@ -50,13 +50,14 @@
 	return false
 }
 
-// refuse turns the last error of a statement that had no effect into an answer.
-func refuse(out Outcome, w Work, err error) Outcome {
+// refuse turns the last error of a statement that had no effect into an answer
+// to the caller.
+func refuse(out Outcome, req Request, err error) Outcome {
 	out.Cause = err.Error()
 	var refused *RefusedError
-	var lost *LostError
+	var noResponse *NoResponseError
 	switch {
-	case errors.As(err, &lost) && clock.Now() >= w.EndBy:
+	case errors.As(err, &noResponse) && clock.Now() >= req.Deadline:
 		out.Answer = statement.ErrorAnswer(statement.TimedOut, "the statement's time is over", statement.Idle)
 	case errors.As(err, &refused) && refused.RetryAfter > 0:
 		out.Answer = statement.ErrorAnswer(statement.Busy, RetryHint(refused.RetryAfter), statement.Idle)
@@ -66,38 +67,38 @@
 	return out
 }
 
-// defaultRetryAfter is what callers are told when no better estimate exists:
-// about the time in which a promotion completes.
+// defaultRetryAfter is the retry delay suggested to callers when there is no
+// better estimate, about the duration of a promotion.
 const defaultRetryAfter = 500 * time.Millisecond
 
 // errNoPrimary refuses a statement that only a primary could run.
 var errNoPrimary = &RefusedError{Reason: "no primary is known", RetryAfter: defaultRetryAfter}
 
-// RetryHint tells a caller that nothing ran, and when it is of use to come back.
+// RetryHint tells a caller that nothing ran and when to retry.
 func RetryHint(d time.Duration) string {
 	return fmt.Sprintf("not run, retry after %d ms", d.Milliseconds())
 }
 
-// peerWait bounds the wait for other hosts' floors: twice the longest round
-// trip between regions.
-const peerWait = 80 * time.Millisecond
+// peerFloorTimeout bounds the wait for floors from other hosts, at twice the
+// longest round trip between regions.
+const peerFloorTimeout = 80 * time.Millisecond
 
-// awaitFloor waits shortly for a floor that serves the read. It asks other hosts
-// where none is known.
-func (s *Set) awaitFloor(ctx context.Context, w Work) bool {
-	if _, found := s.floor(w, clock.Now()); found {
+// awaitFloor waits briefly for a floor for the read, asking other hosts if none
+// is known.
+func (s *Set) awaitFloor(ctx context.Context, req Request) bool {
+	if _, found := s.floor(req, clock.Now()); found {
 		return true
 	}
-	until := time.NewTimer(peerWait)
-	defer until.Stop()
+	timer := time.NewTimer(peerFloorTimeout)
+	defer timer.Stop()
 	for {
-		learned := s.askPeers(clock.Now())
-		if _, found := s.floor(w, clock.Now()); found {
+		observed := s.requestPeerFloors(clock.Now())
+		if _, found := s.floor(req, clock.Now()); found {
 			return true
 		}
 		select {
-		case <-learned:
-		case <-until.C:
+		case <-observed:
+		case <-timer.C:
 			return false
 		case <-ctx.Done():
 			return false
@@ -105,48 +106,47 @@
 	}
 }
 
-// readerJob returns the job for the member that was picked.
+// readerJob returns the job for the chosen member.
 func (a *attempts) readerJob(kind JobKind, r reader) Job {
-	j := Job{Kind: kind, Work: a.work, Plain: kind == JobBegin && r.guarded}
-	if r.guarded {
-		return a.guardedJob(j)
+	j := Job{Kind: kind, Request: a.request, RequirePrimary: kind == JobBegin && r.verifyPrimary}
+	if r.verifyPrimary {
+		return a.primaryReadJob(j)
 	}
 	now := clock.Now()
-	floor, found := a.set.floor(a.work, now)
+	floor, found := a.set.floor(a.request, now)
 	if !found {
 		return j
 	}
 	j.Floor = floor
-	if a.set.leads(r.member) && a.replicaComes(floor, now) {
-		j.Work.StartBy = min(j.Work.StartBy, max(j.Work.FreshBy, now))
+	if a.set.isBelievedPrimary(r.member) && a.replicaWillCatchUp(floor, now) {
+		j.Request.StartDeadline = min(j.Request.StartDeadline, max(j.Request.OnTimeUntil, now))
 	}
 	return j
 }
 
-// replicaComes reports whether a replica that is behind now can serve the read
-// later. What the primary cannot serve on time is left to it then: the
-// primary's connections are for what only it can serve.
-func (a *attempts) replicaComes(floor logpos.Position, now time.Duration) bool {
-	if !a.staysAt(floor) {
+// replicaWillCatchUp reports whether a lagging replica can serve the read
+// later. If so, the read waits for the primary only as long as it is on time,
+// which leaves the primary's connections to work that only it can do.
+func (a *attempts) replicaWillCatchUp(floor logpos.Position, now time.Duration) bool {
+	if !a.floorIsFixed(floor) {
 		return false
 	}
-	_, at, found := catchup.SoonestReady(a.set.laggards(newTried(), floor, now), now, a.work.StartBy)
+	_, at, found := catchup.SoonestReady(a.set.awaitableReplicas(newReadProgress(), floor, now), now, a.request.StartDeadline)
 	return found && at > now
 }
 
-// staysAt reports whether the floor of the read stays where it is while the
-// read waits: it is the caller's own commit. One that follows from how stale the
-// read may be rises with time, and a replica that is behind by more than that
-// does not reach it.
-func (a *attempts) staysAt(floor logpos.Position) bool { return floor == a.work.Committed }
+// floorIsFixed reports whether the floor is the caller's own commit, which does
+// not change while the read waits. A floor from a staleness bound advances with
+// time, so a replica that lags by more than the bound never reaches it.
+func (a *attempts) floorIsFixed(floor logpos.Position) bool { return floor == a.request.LastCommit }
 
-// guardedJob returns the job for a primary that must prove its lead.
-func (a *attempts) guardedJob(j Job) Job {
+// primaryReadJob returns the job for a primary that must prove its leadership.
+func (a *attempts) primaryReadJob(j Job) Job {
 	if j.Kind == JobRead {
-		j.Kind = JobGuardedRead
+		j.Kind = JobPrimaryRead
 	}
-	if a.work.Route.Consistency != catalog.Primary {
-		j.Work.StartBy = min(j.Work.StartBy, max(j.Work.FreshBy, clock.Now()+guardedHold))
+	if a.request.Route.Consistency != catalog.Primary {
+		j.Request.StartDeadline = min(j.Request.StartDeadline, max(j.Request.OnTimeUntil, clock.Now()+primaryReadWait))
 	}
 	return j
 }
--- a/node/replicaset/reclaim.go
+++ b/node/replicaset/reclaim.go
@@ -7,11 +7,11 @@
 	"github.com/dotterelswitch/dotterelswitch/node/eventlog"
 )
 
-// reclaim rolls a transaction back that has rested for too long on a connection
-// of a member, because a statement waits for one. Its caller is told when it
-// goes on; nothing of it is kept.
+// reclaim rolls back a transaction that has been idle for too long on a
+// member's connection while a request waits for one. The caller gets an error
+// at its next step.
 func (s *Set) reclaim(m *Member) {
-	if !s.without.Enabled(mechanism.Reclaim) {
+	if !s.disabled.Enabled(mechanism.Reclaim) {
 		return
 	}
 	if !m.exhausted() {
@@ -19,38 +19,39 @@
 	}
 	now := clock.Now()
 	byID := map[uint64]*localTx{}
-	var resting []connpool.IdleTransaction
+	var idle []connpool.IdleTransaction
 	for _, tx := range s.txs.all() {
-		// A transaction whose lock is taken has a statement under way.
+		// A locked transaction has a statement in progress.
 		if tx.conn.member != m || !tx.mu.TryLock() {
 			continue
 		}
 		if !tx.ended {
 			byID[tx.id] = tx
-			resting = append(resting, connpool.IdleTransaction{ID: tx.id, IdleSince: tx.used})
+			idle = append(idle, connpool.IdleTransaction{ID: tx.id, IdleSince: tx.lastUsed})
 		}
 		tx.mu.Unlock()
 	}
-	if chosen, found := connpool.ReclaimCandidate(resting, now); found {
-		s.endResting(byID[chosen.ID], chosen)
+	if chosen, found := connpool.ReclaimCandidate(idle, now); found {
+		s.rollbackIdle(byID[chosen.ID], chosen)
 	}
 }
 
-// endResting ends a transaction unless it has gone on meanwhile.
-func (s *Set) endResting(tx *localTx, seen connpool.IdleTransaction) {
+// rollbackIdle rolls back a transaction unless it has been used since it was
+// chosen.
+func (s *Set) rollbackIdle(tx *localTx, candidate connpool.IdleTransaction) {
 	if !tx.mu.TryLock() {
 		return
 	}
 	defer tx.mu.Unlock()
-	if tx.ended || tx.used != seen.IdleSince {
+	if tx.ended || tx.lastUsed != candidate.IdleSince {
 		return
 	}
 	eventlog.TransactionReclaimed.Info(s.log).Str("upstream", tx.conn.member.id).Str("owner", tx.owner).
-		Dur("rested_ms", clock.Now()-seen.IdleSince).Send()
+		Dur("rested_ms", clock.Now()-candidate.IdleSince).Send()
 	s.endTx(tx)
 }
 
-// exhausted reports whether all connections that this host may have to the
+// exhausted reports whether all connections that this host may open to the
 // member are in use.
 func (m *Member) exhausted() bool {
 	m.mu.Lock()
--- /dev/null
+++ b/node/replicaset/request.go
@@ -0,0 +1,81 @@
+package replicaset
+
+import (
+	"time"
+
+	"github.com/dotterelswitch/dotterelswitch/core/catalog"
+	"github.com/dotterelswitch/dotterelswitch/core/connpool"
+	"github.com/dotterelswitch/dotterelswitch/core/logpos"
+	"github.com/dotterelswitch/dotterelswitch/core/session"
+	"github.com/dotterelswitch/dotterelswitch/core/statement"
+)
+
+// Request is one statement of a caller with the parameters of its execution.
+// Times are on the clock of node/clock.
+type Request struct {
+	Statement statement.Statement
+	// Values are the caller's session values.
+	Values map[string]string
+	// LastCommit is the position of the caller's latest commit in this service.
+	LastCommit logpos.Position
+	Route      catalog.Route
+	// Team is the team on whose behalf members are contacted; empty for callers
+	// without a team.
+	Team string
+	// ReadOnly is set if the transaction to begin was declared read-only.
+	ReadOnly bool
+	// Received is when this host got the statement, from the caller or from
+	// another host.
+	Received time.Duration
+	// TargetDeadline is when the statement should have completed, OnTimeUntil
+	// when it stops counting as on time in the queue, StartDeadline the latest
+	// useful start, and Deadline when it is abandoned.
+	TargetDeadline, OnTimeUntil, StartDeadline, Deadline time.Duration
+	// AttemptTimeout bounds one attempt of a read, not counting the wait for a
+	// connection; zero for no bound other than Deadline.
+	AttemptTimeout time.Duration
+}
+
+// attemptDeadline returns the deadline of a read attempt that starts now.
+func (r Request) attemptDeadline(now time.Duration) time.Duration {
+	if r.AttemptTimeout == 0 {
+		return r.Deadline
+	}
+	return min(r.Deadline, now+r.AttemptTimeout)
+}
+
+// requestUntil returns a request of the proxy's own with a single deadline.
+func requestUntil(deadline time.Duration) Request {
+	return Request{TargetDeadline: deadline, OnTimeUntil: deadline, StartDeadline: deadline, Deadline: deadline}
+}
+
+func (r Request) waiter() connpool.Waiter {
+	return connpool.Waiter{
+		Priority: r.Route.Priority, Kind: r.Route.Database, TargetDeadline: r.TargetDeadline, OnTimeUntil: r.OnTimeUntil, StartDeadline: r.StartDeadline,
+		Team: r.Team, SessionValues: session.ValuesKey(r.Values),
+	}
+}
+
+// Outcome is an answer with details on how it was obtained, for logs and
+// metrics.
+type Outcome struct {
+	Answer statement.Answer
+	// Member is the last member that was tried.
+	Member string
+	// Primary is set if the member was believed to be the primary.
+	Primary bool
+	// Gate is the host that ran the statement; empty for this one.
+	Gate     string
+	Attempts int
+	// Waited is the time until the last attempt acquired a connection.
+	Waited time.Duration
+	// ReplicaWait is the time spent waiting for a replica to catch up.
+	ReplicaWait time.Duration
+	// Floor is the minimum log position for a read; zero for a write or for a
+	// read during which the primary proved its leadership.
+	Floor logpos.Position
+	// Source is where a read was last sent and why.
+	Source ReadSource
+	// Cause explains a failure.
+	Cause string
+}
--- a/node/replicaset/run.go
+++ b/node/replicaset/run.go
@@ -8,43 +8,43 @@
 	"github.com/dotterelswitch/dotterelswitch/node/clock"
 )
 
-// exchange is one answer on a connection, with when its request was sent.
+// exchange is an answer received on a connection and when its request was sent.
 type exchange struct {
 	answer statement.Answer
-	sent   time.Duration
-	// handed is set once the caller's own statement may have reached the
-	// member, so that only its answer tells what became of it.
-	handed bool
+	sentAt time.Duration
+	// statementSent is set once the caller's own statement may have reached the
+	// member, so that without an answer its outcome is unknown.
+	statementSent bool
 }
 
-// run sends a caller's statement on a connection. The connection has the
-// caller's session values already.
-func (c *Conn) run(st statement.Statement, after logpos.Position, until time.Duration) (exchange, error) {
-	op := statement.Operation{Verb: statement.Forward, ID: st.ID, Text: st.Text, MinPosition: after}
+// run sends a caller's statement on a connection that already has the caller's
+// session values.
+func (c *Conn) run(st statement.Statement, minPosition logpos.Position, deadline time.Duration) (exchange, error) {
+	op := statement.Operation{Verb: statement.Forward, ID: st.ID, Text: st.Text, MinPosition: minPosition}
 	if st.Kind != statement.Execute {
-		return c.send(op, until)
+		return c.send(op, deadline)
 	}
-	// A connection may have lost a prepared name; the answer then says that
-	// nothing ran, and the name is defined once more.
+	// The member may have dropped a prepared name. Its answer then says that
+	// nothing ran, and the shape is prepared again.
 	const tries = 2
 	var x exchange
 	for range tries {
-		name, err := c.define(st.Shape, until)
+		name, err := c.prepare(st.Shape, deadline)
 		if err != nil {
 			return exchange{}, err
 		}
 		op.Verb, op.Name, op.Text = statement.ExecutePrepared, name, st.Value
-		x, err = c.send(op, until)
+		x, err = c.send(op, deadline)
 		if err != nil || x.answer.Code != statement.UnknownStatement {
 			return x, err
 		}
-		c.forget(st.Shape)
+		c.forgetPrepared(st.Shape)
 	}
 	return x, nil
 }
 
-func (c *Conn) send(op statement.Operation, until time.Duration) (exchange, error) {
+func (c *Conn) send(op statement.Operation, deadline time.Duration) (exchange, error) {
 	sent := clock.Now()
-	a, err := c.Do(op, until)
-	return exchange{answer: a, sent: sent, handed: true}, err
+	a, err := c.Do(op, deadline)
+	return exchange{answer: a, sentAt: sent, statementSent: true}, err
 }
--- a/node/replicaset/set.go
+++ b/node/replicaset/set.go
@@ -17,223 +17,220 @@
 )
 
 const (
-	// stalenessMargin is taken off a staleness bound, for the way of a read to
-	// its member.
+	// stalenessMargin is subtracted from a staleness bound to allow for the
+	// time from sending a read to its execution.
 	stalenessMargin = 100 * time.Millisecond
-	// leaveMargin is how long before the platform's bound a leaving member gets
-	// its last new statement: a statement that waits for a connection and the
-	// way there must fit in.
-	leaveMargin = 2 * time.Second
-	// reservedConnections is how many of a member's connections the hosts leave
-	// for probes and promotions.
+	// drainMargin is subtracted from the drain timeout of a leaving member. It
+	// allows for the wait for a connection and the network delay of the last
+	// statement.
+	drainMargin = 2 * time.Second
+	// reservedConnections is the number of connections per member that are
+	// reserved for probes and promotions.
 	reservedConnections = 1
 )
 
-// Places tells how far zones are from each other.
-type Places struct {
+// Topology maps zones to regions and names this host's zone.
+type Topology struct {
 	Zone    string
 	Regions map[string]string
 }
 
-// Region returns the region of a zone; a zone of no known region is one by itself.
-func (p Places) Region(zone string) string {
+// Region returns the region of a zone. A zone without a known region is its own
+// region.
+func (p Topology) Region(zone string) string {
 	if region := p.Regions[zone]; region != "" {
 		return region
 	}
 	return zone
 }
 
-// The round trips between places: typical figures of the deployments, used only
-// to order members.
+// Typical round-trip times, used only to rank members.
 const (
-	sameZoneTrip   = 400 * time.Microsecond
-	sameRegionTrip = 2 * time.Millisecond
-	farTrip        = 30 * time.Millisecond
+	sameZoneRTT    = 400 * time.Microsecond
+	sameRegionRTT  = 2 * time.Millisecond
+	crossRegionRTT = 30 * time.Millisecond
 )
 
-// RoundTrip estimates the time to a zone and back.
-func (p Places) RoundTrip(zone string) time.Duration {
+// RoundTrip estimates the round-trip time to a zone.
+func (p Topology) RoundTrip(zone string) time.Duration {
 	switch {
 	case zone == p.Zone:
-		return sameZoneTrip
+		return sameZoneRTT
 	case p.Regions[zone] != "" && p.Regions[zone] == p.Regions[p.Zone]:
-		return sameRegionTrip
+		return sameRegionRTT
 	default:
-		return farTrip
+		return crossRegionRTT
 	}
 }
 
-// Config is what a Set needs from its surroundings.
+// Config configures a Set.
 type Config struct {
-	Service string
-	Dial    DialFunc
-	Proto   Protocol
-	Places  Places
-	// DrainBound is the latest time after its notice at which a leaving member
-	// may be sent new work.
-	DrainBound time.Duration
-	// AskPeers asks other hosts for a floor; it does not wait. Answers come
-	// through LearnFloor.
-	AskPeers func(service string)
-	// Suspected is called, without a lock, when an exchange with a member fails
-	// after others succeeded; nil for nobody.
-	Suspected func()
-	// Remote runs jobs on other hosts; nil keeps all of them here.
+	Service  string
+	Dial     DialFunc
+	Proto    Protocol
+	Topology Topology
+	// DrainTimeout is how long after its announcement a leaving member may be
+	// sent new work.
+	DrainTimeout time.Duration
+	// RequestFloor asks other hosts for a floor without waiting. Answers arrive
+	// through ObserveFloor.
+	RequestFloor func(service string)
+	// OnSuspect is called, without locks held, when an exchange with a member
+	// fails after others succeeded; may be nil.
+	OnSuspect func()
+	// Remote runs jobs on other hosts; if nil, all jobs run here.
 	Remote Remote
-	// Owner names this host and its incarnation in transactions that it opens
-	// on other hosts.
+	// Owner identifies this host and its incarnation in transactions that it
+	// opens on other hosts.
 	Owner string
-	// Host is this host's name among those that Update lists.
+	// Host is this host's name in the fleet passed to Update.
 	Host string
-	// Without is what the host is run without.
-	Without mechanism.Disabled
-	Log     zerolog.Logger
+	// Disabled lists the mechanisms that are turned off.
+	Disabled mechanism.Disabled
+	Log      zerolog.Logger
 }
 
-// Set is one database group. It is safe for concurrent use. Set.mu is taken
+// Set is one database group. It is safe for concurrent use. Lock order: Set.mu
 // before Member.mu.
 type Set struct {
-	service string
-	dial    DialFunc
-	proto   Protocol
-	places  Places
-	drain   time.Duration
-	ask     func(service string)
-	suspect func()
-	remote  Remote
-	owner   string
-	host    string
-	without mechanism.Disabled
-	// gateHealth tells which hosts answer what is sent to them.
+	service      string
+	dial         DialFunc
+	proto        Protocol
+	topology     Topology
+	drainTimeout time.Duration
+	requestFloor func(service string)
+	onSuspect    func()
+	remote       Remote
+	owner        string
+	host         string
+	disabled     mechanism.Disabled
+	// gateHealth tracks which hosts answer their jobs.
 	gateHealth gateHealth
 	txs        txTable
 	log        zerolog.Logger
-	// attention wakes the prober.
-	attention chan struct{}
+	// probeRequested wakes Probe.
+	probeRequested chan struct{}
 
 	// mu guards the fields below.
 	mu      sync.Mutex
 	members map[string]*Member
-	// shares are this host's in the members' connections.
-	shares *gates.ShareCache
-	// votes tells that this host is one of those that judge the primary.
-	votes      bool
-	electorate *succession.VoterSet
-	belief     succession.PrimaryTracker
-	// reached is how far the newest primary's log is known to go.
-	reached succession.HighWaterMark
-	floors  fresh.Floors
-	// wroteIn is the newest term in which a write was acknowledged here.
-	wroteIn logpos.Term
-	// changed is closed and replaced when the primary may have changed.
-	changed chan struct{}
-	// learned is closed and replaced when a peer has told a floor.
-	learned chan struct{}
-	// leaderlessSince is when no usable primary was first found; zero while
-	// there is one.
-	leaderlessSince time.Duration
-	// askedAt is when peers were last asked.
-	askedAt time.Duration
+	// shareCache holds this host's shares of the members' connections.
+	shareCache *gates.ShareCache
+	// isVoter is set if this host votes on the loss of the primary.
+	isVoter        bool
+	voters         *succession.VoterSet
+	primaryTracker succession.PrimaryTracker
+	// highWaterMark is the furthest known position of the current primary's
+	// log.
+	highWaterMark succession.HighWaterMark
+	floors        fresh.Floors
+	// lastWriteTerm is the latest term in which a write was acknowledged here.
+	lastWriteTerm logpos.Term
+	// primaryChanged is closed and replaced when the primary changes.
+	primaryChanged chan struct{}
+	// floorObserved is closed and replaced when a peer has reported a floor.
+	floorObserved chan struct{}
+	// noPrimarySince is when the lack of a usable primary was first noticed;
+	// zero while there is one.
+	noPrimarySince time.Duration
+	// floorRequestedAt is when peers were last asked for a floor.
+	floorRequestedAt time.Duration
 }
 
-// New returns a set without members.
 func New(cfg Config) *Set {
 	return &Set{
-		service: cfg.Service, dial: cfg.Dial, proto: cfg.Proto, places: cfg.Places, drain: cfg.DrainBound,
-		ask: cfg.AskPeers, suspect: cfg.Suspected, remote: cfg.Remote, owner: cfg.Owner, host: cfg.Host, without: cfg.Without, learned: make(chan struct{}),
-		log:       cfg.Log.With().Str("service", cfg.Service).Logger(),
-		attention: make(chan struct{}, 1), members: map[string]*Member{}, changed: make(chan struct{}),
-		shares: gates.NewShareCache(cfg.Host), electorate: succession.NewVoterSet(cfg.Service),
+		service: cfg.Service, dial: cfg.Dial, proto: cfg.Proto, topology: cfg.Topology, drainTimeout: cfg.DrainTimeout,
+		requestFloor: cfg.RequestFloor, onSuspect: cfg.OnSuspect, remote: cfg.Remote, owner: cfg.Owner, host: cfg.Host, disabled: cfg.Disabled, floorObserved: make(chan struct{}),
+		log:            cfg.Log.With().Str("service", cfg.Service).Logger(),
+		probeRequested: make(chan struct{}, 1), members: map[string]*Member{}, primaryChanged: make(chan struct{}),
+		shareCache: gates.NewShareCache(cfg.Host), voters: succession.NewVoterSet(cfg.Service),
 	}
 }
 
-// Update takes the members and limits in force.
+// Update applies the current members and limits.
 func (s *Set) Update(members []directory.Member, spec catalog.Service, fleet gates.Fleet) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	plan := gates.NewPlan(fleet, spec.MaxConnections-reservedConnections)
-	s.votes = s.electorate.IsVoter(s.host, fleet)
-	before := s.belief.Primary()
+	s.isVoter = s.voters.IsVoter(s.host, fleet)
+	before := s.primaryTracker.Primary()
 	listed := map[string]bool{}
 	for _, e := range members {
 		listed[e.ID] = true
 		share := s.shareOf(plan, gates.Member{ID: e.ID, Zone: e.Zone, Slots: e.Slots})
-		m := s.present(e, share)
-		if e.Primary && m.mayClaim(e) {
-			s.belief.ObserveClaim(e.ID, e.RoleRevision)
+		m := s.upsertMember(e, share)
+		if e.Primary && m.acceptsPrimaryClaim(e) {
+			s.primaryTracker.ObserveClaim(e.ID, e.RoleRevision)
 		}
 		if !e.Primary {
-			s.belief.ObserveResignation(e.ID)
+			s.primaryTracker.ObserveResignation(e.ID)
 		}
 	}
 	for id, m := range s.members {
 		if !listed[id] {
 			delete(s.members, id)
-			s.shares.Forget(id)
-			s.belief.ObserveResignation(id)
+			s.shareCache.Forget(id)
+			s.primaryTracker.ObserveResignation(id)
 			m.remove()
 			eventlog.UpstreamGone.Info(s.log).Str("upstream", id).Send()
 		}
 	}
-	s.notePrimary(before, "directory")
+	s.notifyPrimaryChange(before, "directory")
 }
 
-// shareOf returns this host's share of a member's connections. It is called with
-// mu held.
+// shareOf returns this host's share of a member's connections. It is called
+// with mu held.
 func (s *Set) shareOf(plan gates.Plan, m gates.Member) gates.Share {
-	if !s.without.Enabled(mechanism.Gates) {
+	if !s.disabled.Enabled(mechanism.Gates) {
 		return plan.EvenShare()
 	}
-	return s.shares.For(plan, m)
+	return s.shareCache.For(plan, m)
 }
 
-// present returns the member of an entry with the entry taken in. It is called
-// with mu held.
-func (s *Set) present(e directory.Member, share gates.Share) *Member {
+// upsertMember creates or updates the member of an entry. It is called with mu
+// held.
+func (s *Set) upsertMember(e directory.Member, share gates.Share) *Member {
 	m, found := s.members[e.ID]
-	if found && m.sameLife(e) {
+	if found && m.sameIncarnation(e) {
 		m.update(e, share)
 		return m
 	}
-	next := newMember(s, e, share)
-	s.members[e.ID] = next
+	created := newMember(s, e, share)
+	s.members[e.ID] = created
 	if !found {
 		eventlog.UpstreamKnown.Info(s.log).Str("upstream", e.ID).Str("address", e.Address).Bool("primary", e.Primary).Send()
-		return next
+		return created
 	}
-	// The new life holds nothing of what the earlier one held: its connections,
-	// its lead and its health are void, and an answer that is still awaited of it
-	// will not come.
-	next.restarted = e.RoleRevision
-	s.belief.ObserveResignation(e.ID)
-	m.end()
+	// A new incarnation invalidates the connections, the leadership and the
+	// health of the previous one, and pending requests will not be answered.
+	created.restartRevision = e.RoleRevision
+	s.primaryTracker.ObserveResignation(e.ID)
+	m.terminate()
 	eventlog.UpstreamRestarted.Info(s.log).Str("upstream", e.ID).Str("address", e.Address).Uint64("started_at", uint64(e.StartedAt)).Send()
-	return next
+	return created
 }
 
-// Votes reports whether this host is one of those that judge the primary.
-func (s *Set) Votes() bool {
+// IsVoter reports whether this host votes on the loss of the primary.
+func (s *Set) IsVoter() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.votes
+	return s.isVoter
 }
 
-// suspected tells that a member may be lost.
-func (s *Set) suspected() {
-	if s.suspect != nil {
-		s.suspect()
+func (s *Set) notifySuspect() {
+	if s.onSuspect != nil {
+		s.onSuspect()
 	}
 }
 
-// wake has the prober look now.
-func (s *Set) wake() {
+// requestProbe wakes Probe without blocking.
+func (s *Set) requestProbe() {
 	select {
-	case s.attention <- struct{}{}:
+	case s.probeRequested <- struct{}{}:
 	default:
 	}
 }
 
-// Members returns all members.
 func (s *Set) Members() []*Member {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -244,7 +241,6 @@
 	return out
 }
 
-// Member returns a member by name.
 func (s *Set) Member(id string) (*Member, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/node/replicaset/tx.go
+++ b/node/replicaset/tx.go
@@ -8,12 +8,12 @@
 	"github.com/dotterelswitch/dotterelswitch/node/clock"
 )
 
-// Tx is an open transaction, here or on a gate of its member. It is not safe
-// for concurrent use.
+// Tx is an open transaction, on this host or on a gate of its member. It is not
+// safe for concurrent use.
 type Tx struct {
 	set    *Set
 	member *Member
-	// gate is the host that runs it; empty for this one.
+	// gate is the host that runs the transaction; empty for this one.
 	gate string
 	id   uint64
 }
@@ -21,45 +21,45 @@
 // Member returns the name of the member that runs the transaction.
 func (t *Tx) Member() string { return t.member.id }
 
-// Gate returns the host that runs the transaction, empty for this one.
+// Gate returns the host that runs the transaction; empty for this one.
 func (t *Tx) Gate() string { return t.gate }
 
-// Begin opens a transaction. It returns nil and a refusal when none could be
-// opened; nothing of the caller was sent then.
-func (s *Set) Begin(ctx context.Context, w Work) (*Tx, Outcome) {
-	a := s.newAttempts(w)
+// Begin opens a transaction. If it fails, the Tx is nil and the outcome is a
+// refusal; no statement of the caller was sent.
+func (s *Set) Begin(ctx context.Context, req Request) (*Tx, Outcome) {
+	a := s.newAttempts(req)
 	var res Result
 	var m *Member
-	if w.ReadOnly && w.Route.Consistency != catalog.Primary {
+	if req.ReadOnly && req.Route.Consistency != catalog.Primary {
 		res, m = a.onReaders(ctx, JobBegin)
 	} else {
 		res, m = a.onPrimary(ctx, JobBegin)
 	}
 	if m == nil {
-		return nil, a.refused()
+		return nil, a.refusal()
 	}
 	if res.Answer.Code != statement.OK {
-		a.last = res.failure(m)
-		return nil, a.refused()
+		a.lastErr = res.failure(m)
+		return nil, a.refusal()
 	}
-	a.out.Answer = statement.Answer{}
-	return &Tx{set: s, member: m, gate: a.out.Gate, id: res.Tx}, a.out
+	a.outcome.Answer = statement.Answer{}
+	return &Tx{set: s, member: m, gate: a.outcome.Gate, id: res.Tx}, a.outcome
 }
 
-// Do runs a read or a write in the transaction. A lost connection means that
-// nothing of the transaction is kept, because no commit was sent.
-func (t *Tx) Do(ctx context.Context, w Work) statement.Answer {
-	res := t.set.step(ctx, t.member, t.gate, Job{Kind: JobStatement, Work: w, Tx: t.id})
+// Do runs a read or a write in the transaction. If the connection is lost, the
+// transaction is rolled back, because no commit was sent.
+func (t *Tx) Do(ctx context.Context, req Request) statement.Answer {
+	res := t.set.stepTx(ctx, t.member, t.gate, Job{Kind: JobStatement, Request: req, Tx: t.id})
 	if res.Err != nil {
 		return statement.ErrorAnswer(statement.Aborted, "the transaction was rolled back: "+res.Err.Error(), statement.Failed)
 	}
 	return res.Answer
 }
 
-// Commit ends the transaction and keeps its writes. Wrote tells whether there
-// are any; only then can a lost answer leave the outcome unknown.
-func (t *Tx) Commit(ctx context.Context, w Work, wrote bool) statement.Answer {
-	res := t.set.step(ctx, t.member, t.gate, Job{Kind: JobCommit, Work: w, Tx: t.id, Wrote: wrote})
+// Commit commits the transaction. The parameter wrote tells whether it has
+// writes; only then can a lost answer leave the outcome unknown.
+func (t *Tx) Commit(ctx context.Context, req Request, wrote bool) statement.Answer {
+	res := t.set.stepTx(ctx, t.member, t.gate, Job{Kind: JobCommit, Request: req, Tx: t.id, Wrote: wrote})
 	if res.Err != nil {
 		if wrote && res.mayHaveRun() {
 			return statement.ErrorAnswer(statement.InDoubt, "the commit had no answer; it may have been kept", statement.Idle)
@@ -70,13 +70,13 @@
 	return res.Answer
 }
 
-// Rollback drops the transaction. It does not wait.
+// Rollback rolls the transaction back in the background.
 func (t *Tx) Rollback() {
 	go func() {
 		now := clock.Now()
-		res := t.set.step(context.Background(), t.member, t.gate, Job{Kind: JobRollback, Work: until(now + undoTimeout), Tx: t.id})
+		res := t.set.stepTx(context.Background(), t.member, t.gate, Job{Kind: JobRollback, Request: requestUntil(now + rollbackTimeout), Tx: t.id})
 		if res.Err != nil {
-			t.set.log.Debug().Err(res.Err).Msg("a rollback was not confirmed; the gate ends the transaction by itself")
+			t.set.log.Debug().Err(res.Err).Msg("rollback was not confirmed; the gate will roll back the unused transaction")
 		}
 	}()
 }
--- a/node/replicaset/tx_table.go
+++ b/node/replicaset/tx_table.go
@@ -10,23 +10,23 @@
 
 // localTx is an open transaction on a connection of this host.
 type localTx struct {
-	id    uint64
-	owner string
-	plain bool
-	conn  *Conn
+	id        uint64
+	owner     string
+	onPrimary bool
+	conn      *Conn
 
-	// mu orders the steps; it guards the fields below.
-	mu    sync.Mutex
-	used  time.Duration
-	ended bool
+	// mu serializes the steps and guards the fields below.
+	mu       sync.Mutex
+	lastUsed time.Duration
+	ended    bool
 }
 
-// txTable holds the open transactions. It is safe for concurrent use; its lock
-// is a leaf.
+// txTable holds the open transactions. It is safe for concurrent use. No other
+// lock is taken while its lock is held.
 type txTable struct {
-	mu   sync.Mutex
-	next uint64
-	open map[uint64]*localTx
+	mu     sync.Mutex
+	lastID uint64
+	open   map[uint64]*localTx
 }
 
 func (t *txTable) add(c *Conn, j Job) uint64 {
@@ -35,9 +35,9 @@
 	if t.open == nil {
 		t.open = map[uint64]*localTx{}
 	}
-	t.next++
-	t.open[t.next] = &localTx{id: t.next, owner: j.Owner, plain: j.Plain, conn: c, used: clock.Now()}
-	return t.next
+	t.lastID++
+	t.open[t.lastID] = &localTx{id: t.lastID, owner: j.Owner, onPrimary: j.RequirePrimary, conn: c, lastUsed: clock.Now()}
+	return t.lastID
 }
 
 func (t *txTable) get(id uint64) (*localTx, bool) {
@@ -63,31 +63,31 @@
 	return out
 }
 
-// EndOwned rolls back the transactions that a host opened here.
-func (s *Set) EndOwned(owner string) {
-	s.endWhere(fmt.Sprintf("host %s is gone", owner), func(tx *localTx) bool { return tx.owner == owner })
+// RollbackOwned rolls back the transactions that a host opened here.
+func (s *Set) RollbackOwned(owner string) {
+	s.rollbackWhere(fmt.Sprintf("owner %s is no longer running", owner), func(tx *localTx) bool { return tx.owner == owner })
 }
 
-// EndUnused rolls back the transactions that no step has come for since
-// before the given time: their host may be gone without a sign.
-func (s *Set) EndUnused(before time.Duration) {
-	s.endWhere("it was not used", func(tx *localTx) bool { return tx.used < before })
+// RollbackUnused rolls back the transactions last used before the given time:
+// the host that opened them may have failed.
+func (s *Set) RollbackUnused(before time.Duration) {
+	s.rollbackWhere("transaction was not used in time", func(tx *localTx) bool { return tx.lastUsed < before })
 }
 
-func (s *Set) endWhere(reason string, match func(*localTx) bool) {
+func (s *Set) rollbackWhere(reason string, match func(*localTx) bool) {
 	for _, tx := range s.txs.all() {
 		tx.mu.Lock()
 		if !tx.ended && match(tx) {
-			s.log.Debug().Uint64("transaction", tx.id).Str("reason", reason).Msg("a transaction is rolled back")
+			s.log.Debug().Uint64("transaction", tx.id).Str("reason", reason).Msg("rolling back transaction")
 			s.endTx(tx)
 		}
 		tx.mu.Unlock()
 	}
 }
 
-// Open returns the number of transactions that are open on connections of this
-// host.
-func (s *Set) Open() int {
+// OpenTransactions returns the number of transactions open on connections of
+// this host.
+func (s *Set) OpenTransactions() int {
 	s.txs.mu.Lock()
 	defer s.txs.mu.Unlock()
 	return len(s.txs.open)
--- a/node/replicaset/watch_gate.go
+++ b/node/replicaset/watch_gate.go
@@ -9,14 +9,13 @@
 	"github.com/dotterelswitch/dotterelswitch/node/clock"
 )
 
-// runWatched runs a job on another host and looks meanwhile whether that host
-// lives. Load pattern: a gate freezes or is cut off with statements under way.
-// Their queue at a busy member may take as long as the freeze lasts, so time
-// alone does not tell the two apart; a sign of life does. What may be run twice
-// is given up, to be run elsewhere; a write waits for its answer, or until the
-// host counts as lost.
+// runWatched runs a job on another host and pings that host meanwhile. A slow
+// answer may come from a queue at a busy member or from a frozen gate; only a
+// ping tells them apart. If the gate does not respond, a repeatable job is
+// abandoned, to run elsewhere; a write waits for its answer or until the gate
+// counts as lost.
 func (s *Set) runWatched(ctx context.Context, address string, j Job) Result {
-	if !s.without.Enabled(mechanism.GateWatch) {
+	if !s.disabled.Enabled(mechanism.GateWatch) {
 		return s.remote.Run(ctx, address, s.service, j)
 	}
 	if !j.repeatable() {
@@ -24,22 +23,22 @@
 	}
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	look := time.AfterFunc(health.GateProbeDelay, func() { s.watchGate(ctx, cancel, address, j.repeatable()) })
-	defer look.Stop()
+	timer := time.AfterFunc(health.GateProbeDelay, func() { s.watchGate(ctx, cancel, address, j.repeatable()) })
+	defer timer.Stop()
 	return s.remote.Run(ctx, address, s.service, j)
 }
 
-// watchGate looks until the context ends whether a host lives, and ends it when
-// the host does not and the job may be given up. What may not ends with the
-// connections to a host that is lost.
-func (s *Set) watchGate(ctx context.Context, giveUp context.CancelFunc, address string, mayGiveUp bool) {
+// watchGate pings a host until the context ends. If the host does not respond,
+// it abandons the job when that is allowed, and otherwise closes the
+// connections once the host counts as lost.
+func (s *Set) watchGate(ctx context.Context, abandon context.CancelFunc, address string, mayAbandon bool) {
 	for ctx.Err() == nil {
-		lives := s.gateLives(ctx, address)
+		alive := s.gateAlive(ctx, address)
 		switch {
-		case !lives && mayGiveUp:
-			giveUp()
+		case !alive && mayAbandon:
+			abandon()
 			return
-		case !lives && s.gateHealth.lost(address, clock.Now()):
+		case !alive && s.gateHealth.lost(address, clock.Now()):
 			s.remote.Drop(address)
 			return
 		}
@@ -47,14 +46,14 @@
 	}
 }
 
-// gateLives reports whether a host has answered anything lately, or does now.
-func (s *Set) gateLives(ctx context.Context, address string) bool {
-	if !s.gateHealth.due(address, clock.Now()) {
+// gateAlive reports whether a host has recently answered or answers a ping now.
+func (s *Set) gateAlive(ctx context.Context, address string) bool {
+	if !s.gateHealth.probeDue(address, clock.Now()) {
 		return true
 	}
 	if !s.remote.Alive(ctx, address) {
 		return false
 	}
-	s.gateHealth.alive(address, clock.Now())
+	s.gateHealth.probeAnswered(address, clock.Now())
 	return true
 }
--- a/node/replicaset/write.go
+++ b/node/replicaset/write.go
@@ -7,25 +7,25 @@
 )
 
 // Write runs a single write on the primary.
-func (s *Set) Write(ctx context.Context, w Work) Outcome {
-	a := s.newAttempts(w)
+func (s *Set) Write(ctx context.Context, req Request) Outcome {
+	a := s.newAttempts(req)
 	res, m := a.onPrimary(ctx, JobWrite)
 	if m == nil {
-		return a.refused()
+		return a.refusal()
 	}
 	if res.mayHaveRun() {
-		a.out.Cause = res.Err.Error()
-		a.out.Answer = statement.ErrorAnswer(statement.InDoubt, "the member did not answer; the write may have been kept", statement.Idle)
+		a.outcome.Cause = res.Err.Error()
+		a.outcome.Answer = statement.ErrorAnswer(statement.InDoubt, "the member did not answer; the write may have been kept", statement.Idle)
 	}
-	return a.out
+	return a.outcome
 }
 
-// mayHaveRun reports whether the caller's statement may have reached the
-// member although no answer came.
+// mayHaveRun reports whether the caller's statement may have reached the member
+// although no answer came.
 func (r Result) mayHaveRun() bool {
 	if r.Err == nil {
 		return false
 	}
 	gate, failed := r.gateError()
-	return r.Handed || (failed && gate.Sent)
+	return r.StatementSent || (failed && gate.MaybeSent)
 }
