--- a/node/entry/entry.go
+++ b/node/entry/entry.go
@@ -39,7 +39,7 @@
 	Members   replicaset.Protocol
 	Store     registry.Store
 	Documents registry.Documents
-	Promotion promoter.Caller
+	Promotion promoter.Platform
 	// ReadyPath is where the platform asks whether the host takes callers.
 	ReadyPath string
 }
@@ -293,10 +293,10 @@
 		Remote: h.remote(), Owner: h.owner, Host: h.settings.Host, Without: h.settings.Without, Log: h.log,
 	})
 	p = promoter.New(promoter.Config{
-		Service: service, Host: h.settings.Host, Set: s, Registry: h.registry, Caller: h.adapter.Promotion, Peers: h,
-		Without: h.settings.Without,
-		Spec:    func() catalog.Service { return h.registry.Catalog().Services[service] },
-		Observe: func(r promoter.Result) { h.metrics.promotion(service, r) }, Log: h.log,
+		Service: service, Host: h.settings.Host, Set: s, Registry: h.registry, Platform: h.adapter.Promotion, Peers: h,
+		Disabled: h.settings.Without,
+		Spec:     func() catalog.Service { return h.registry.Catalog().Services[service] },
+		Observe:  func(r promoter.Result) { h.metrics.promotion(service, r) }, Log: h.log,
 	})
 	h.wg.Go(func() { s.Probe(ctx) })
 	h.wg.Go(func() { p.Run(ctx) })
--- a/node/entry/groups.go
+++ b/node/entry/groups.go
@@ -10,13 +10,13 @@
 
 // ticksPerTidy is how many glances at the promoters go by until connections are
 // looked over.
-const ticksPerTidy = int(replicaset.TidyInterval / promoter.Interval)
+const ticksPerTidy = int(replicaset.TidyInterval / promoter.CheckInterval)
 
 // watchGroups looks at all groups by one clock, until the context ends: a timer a
 // group would wake the host for each.
 func (h *Host) watchGroups(ctx context.Context) {
 	ticks := 0
-	clock.Every(ctx, promoter.Interval, func() {
+	clock.Every(ctx, promoter.CheckInterval, func() {
 		now := clock.Now()
 		for _, p := range h.allPromoters() {
 			p.Tick(now)
--- a/node/promoter/ask.go
+++ b/node/promoter/ask.go
@@ -10,94 +10,96 @@
 )
 
 const (
-	// askTime bounds the wait for an opinion: three round trips between regions
-	// and a busy host's turn.
-	askTime = 150 * time.Millisecond
-	// askInterval spaces the questions to one host.
-	askInterval = 60 * time.Millisecond
-	// askedFor is how long a question keeps the primary in doubt here: several
-	// questions of a host that goes on asking.
-	askedFor = 400 * time.Millisecond
+	// opinionTimeout bounds the wait for an opinion. It covers a few round trips
+	// between regions and scheduling delay on a busy host.
+	opinionTimeout = 150 * time.Millisecond
+	// opinionInterval is the minimum time between two questions to one host.
+	opinionInterval = 60 * time.Millisecond
+	// questionTTL is how long a question from another host keeps the primary
+	// under suspicion. It spans several questions of a host that keeps asking.
+	questionTTL = 400 * time.Millisecond
 )
 
-// askOthers asks other hosts about a primary in doubt. The holder of the lock
-// asks the voters at the first sign, so that their opinions are there when it has
-// found the primary dead; the others tell the holder by asking it, and ask the
-// voters as well once it may be their turn. A host that was only asked itself asks
-// nobody but as the holder: questions would go round for ever.
-func (p *Promoter) askOthers(ctx context.Context, now time.Duration, doubted, lost bool) {
-	life := p.subject()
+// requestOpinions asks other hosts about a suspected primary. The lock holder
+// asks the voters as soon as it suspects the primary, so that their opinions are
+// available once it considers the primary dead. Other hosts alert the holder by
+// asking it, and ask the voters only when they may soon have to take over. A host
+// that has merely been asked does not ask others unless it holds the lock;
+// otherwise questions would circulate endlessly.
+func (p *Promoter) requestOpinions(ctx context.Context, now time.Duration, suspected, lost bool) {
+	incarnation := p.currentPrimary()
 	lock := p.registry.LockOf(p.service)
 	if lock.Holder == p.host {
-		p.ask(ctx, now, life, p.voters())
+		p.requestOpinionsFrom(ctx, now, incarnation, p.voters())
 		return
 	}
-	if lock.Holder != "" && doubted {
-		p.ask(ctx, now, life, []string{lock.Holder})
+	if lock.Holder != "" && suspected {
+		p.requestOpinionsFrom(ctx, now, incarnation, []string{lock.Holder})
 	}
-	if lost && (lock.Holder == "" || now >= p.deputyFrom()) {
-		p.ask(ctx, now, life, p.voters())
+	if lost && (lock.Holder == "" || now >= p.takeoverPreparationStart()) {
+		p.requestOpinionsFrom(ctx, now, incarnation, p.voters())
 	}
 }
 
-// deputyFrom returns from when on the others prepare to do without the holder of
-// the lock: early enough to have the voters' opinions when it is their turn.
-func (p *Promoter) deputyFrom() time.Duration {
+// takeoverPreparationStart returns when hosts other than the lock holder start to
+// collect the voters' opinions, early enough to have them at takeover time.
+func (p *Promoter) takeoverPreparationStart() time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return max(p.lostSince, p.leaderSeen) + succession.TakeoverDelay - askTime
+	return max(p.lostSince, p.leaderSeenAt) + succession.TakeoverDelay - opinionTimeout
 }
 
-// subject names the primary in doubt.
-func (p *Promoter) subject() string {
+// currentPrimary names the incarnation of the primary that this host knows, or
+// noPrimary.
+func (p *Promoter) currentPrimary() string {
 	id, found := p.set.Believed()
 	if !found {
-		return noMember
+		return noPrimary
 	}
-	return p.life(id)
+	return p.incarnationOf(id)
 }
 
-// ask asks those of some hosts that were not just asked. It does not wait.
-func (p *Promoter) ask(ctx context.Context, now time.Duration, life string, hosts []string) {
+// requestOpinionsFrom asks the given hosts, except those asked within
+// opinionInterval. It does not wait for answers.
+func (p *Promoter) requestOpinionsFrom(ctx context.Context, now time.Duration, incarnation string, hosts []string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, host := range hosts {
-		if host == p.host || now-p.askedAt[host] < askInterval {
+		if host == p.host || now-p.askedAt[host] < opinionInterval {
 			continue
 		}
 		p.askedAt[host] = now
-		go p.askHost(ctx, life, host)
+		go p.requestOpinion(ctx, incarnation, host)
 	}
 }
 
-func (p *Promoter) askHost(ctx context.Context, life, host string) {
-	ctx, cancel := context.WithTimeout(ctx, askTime)
+func (p *Promoter) requestOpinion(ctx context.Context, incarnation, host string) {
+	ctx, cancel := context.WithTimeout(ctx, opinionTimeout)
 	defer cancel()
 	asked := clock.Now()
-	o, answered := p.peers.Opinion(ctx, p.service, life, host)
+	o, answered := p.peers.Opinion(ctx, p.service, incarnation, host)
 	if !answered {
 		return
 	}
 	p.mu.Lock()
-	p.opinions.Record(life, o, asked)
+	p.opinions.Record(incarnation, o, asked)
 	if o.Leading {
-		p.leaderSeen = max(p.leaderSeen, asked)
+		p.leaderSeenAt = max(p.leaderSeenAt, asked)
 	}
 	p.mu.Unlock()
 	p.Wake()
 }
 
-// Opinion says what this host thinks of a primary, for another one that asks. A
-// host without evidence of its own looks for it, and asks others if it is the
-// one to lead.
-func (p *Promoter) Opinion(ctx context.Context, life string) succession.Opinion {
+// Opinion answers another host's question about a primary. A host that does not
+// consider the primary dead starts a check of its own.
+func (p *Promoter) Opinion(ctx context.Context, incarnation string) succession.Opinion {
 	now := clock.Now()
 	p.mu.Lock()
-	p.askedUntil = now + askedFor
+	p.askedUntil = now + questionTTL
 	p.mu.Unlock()
 	o := succession.Opinion{
 		Host: p.host, StoreReached: !p.registry.Away(), Lock: p.registry.LockOf(p.service).Token(),
-		Dead: p.hasLost(life, now) && !p.stoodStill(now), Reaches: p.reaches(life, now), Leading: p.leading.Load(),
+		Dead: p.hasLost(incarnation, now) && !p.wasSuspended(now), Reaches: p.reaches(incarnation, now), Leading: p.leading.Load(),
 	}
 	if !o.Dead {
 		p.Wake()
@@ -105,29 +107,29 @@
 	return o
 }
 
-// reaches reports whether a primary has answered this host lately, so that others
-// may send it statements through this one.
-func (p *Promoter) reaches(life string, now time.Duration) bool {
-	m, known := p.member(life)
+// reaches reports whether a primary has recently answered this host, so that
+// other hosts may forward statements through it.
+func (p *Promoter) reaches(incarnation string, now time.Duration) bool {
+	m, known := p.memberByIncarnation(incarnation)
 	return known && m.Reached(now)
 }
 
-// member returns the member with a life of that name.
-func (p *Promoter) member(life string) (*replicaset.Member, bool) {
+// memberByIncarnation returns the member whose current incarnation has that name.
+func (p *Promoter) memberByIncarnation(incarnation string) (*replicaset.Member, bool) {
 	for _, m := range p.set.Members() {
-		if m.Life() == life {
+		if m.Life() == incarnation {
 			return m, true
 		}
 	}
 	return nil, false
 }
 
-// hasLost reports whether this host has lost a primary.
-func (p *Promoter) hasLost(life string, now time.Duration) bool {
-	if life == noMember {
+// hasLost reports whether this host considers a primary dead.
+func (p *Promoter) hasLost(incarnation string, now time.Duration) bool {
+	if incarnation == noPrimary {
 		_, found := p.set.Believed()
 		return !found
 	}
-	m, known := p.member(life)
+	m, known := p.memberByIncarnation(incarnation)
 	return known && m.Dead(now)
 }
--- a/node/promoter/call.go
+++ b/node/promoter/call.go
@@ -9,56 +9,55 @@
 )
 
 const (
-	// callTries is how often a promotion call is repeated. The same call with
-	// the same token has one effect however often it is carried out.
-	callTries = 5
-	// firstCallTime bounds the first call. The platform answers in milliseconds
-	// and is a round trip between regions away; each call after it gets twice the
-	// time, up to lastCallTime, for a platform that is slow.
-	firstCallTime = 150 * time.Millisecond
-	lastCallTime  = 600 * time.Millisecond
-	// callSpacing is the least time between two calls, for refusals that come at
-	// once: the platform takes 50 calls a second of the whole fleet.
-	callSpacing = 100 * time.Millisecond
+	// maxPromoteCalls bounds the calls of one promotion. Calls with the same
+	// token are idempotent.
+	maxPromoteCalls = 5
+	// firstCallTimeout bounds the first call. The timeout doubles with each
+	// further call, up to maxCallTimeout.
+	firstCallTimeout = 150 * time.Millisecond
+	maxCallTimeout   = 600 * time.Millisecond
+	// minCallSpacing is the minimum time between two calls, so that immediate
+	// errors do not exhaust the platform's rate limit for the fleet.
+	minCallSpacing = 100 * time.Millisecond
 )
 
-// refusal is a promotion error that ends the use of a token.
-type refusal interface{ Refused() bool }
+// refusalError is implemented by promotion errors that tell whether the platform
+// refused the token.
+type refusalError interface{ Refused() bool }
 
-// refused reports whether the platform has refused the token.
-func refused(err error) bool {
-	var r refusal
+// tokenRefused reports whether the platform has refused the fencing token.
+func tokenRefused(err error) bool {
+	var r refusalError
 	return errors.As(err, &r) && r.Refused()
 }
 
-// call orders a promotion until the platform has answered. Load pattern: the
-// platform loses a third of the answers, or carries calls out late, while all
-// writes of a group wait for the new primary; so the first repeats come soon.
-func (p *Promoter) call(ctx context.Context, member string, token uint64) error {
+// callPromote calls the platform until it answers. Answers may be lost while all
+// writes of the group wait for the new primary, so the first retries come early.
+func (p *Promoter) callPromote(ctx context.Context, member string, token uint64) error {
 	var err error
-	for try := range callTries {
-		if p.leads(member) {
+	for attempt := range maxPromoteCalls {
+		if p.isPrimary(member) {
 			return nil
 		}
-		began := clock.Now()
-		if err = p.callOnce(ctx, member, token, callTime(try)); err == nil {
+		started := clock.Now()
+		if err = p.callPromoteOnce(ctx, member, token, callTimeout(attempt)); err == nil {
 			return nil
 		}
-		if refused(err) {
+		if tokenRefused(err) {
 			return err
 		}
-		if !clock.Sleep(ctx, callSpacing-(clock.Now()-began)) {
+		if !clock.Sleep(ctx, minCallSpacing-(clock.Now()-started)) {
 			return err
 		}
 	}
 	return err
 }
 
-func (p *Promoter) callOnce(ctx context.Context, member string, token uint64, d time.Duration) error {
+func (p *Promoter) callPromoteOnce(ctx context.Context, member string, token uint64, d time.Duration) error {
 	ctx, cancel := context.WithTimeout(ctx, d)
 	defer cancel()
-	return p.caller.Promote(ctx, p.service, member, token)
+	return p.platform.Promote(ctx, p.service, member, token)
 }
 
-// callTime returns how long a try waits for its answer.
-func callTime(try int) time.Duration { return min(firstCallTime<<try, lastCallTime) }
+// callTimeout returns the timeout of an attempt.
+func callTimeout(attempt int) time.Duration { return min(firstCallTimeout<<attempt, maxCallTimeout) }
--- a/node/promoter/call_test.go
+++ b/node/promoter/call_test.go
@@ -11,51 +11,50 @@
 	"github.com/dotterelswitch/dotterelswitch/node/replicaset"
 )
 
-// lossyPlatform loses the answers to the first calls.
+// lossyPlatform drops the answers to the first calls.
 type lossyPlatform struct {
-	lose, calls int
-	refuse      error
+	lostAnswers, calls int
+	err                error
 }
 
 func (l *lossyPlatform) Promote(ctx context.Context, _, _ string, _ uint64) error {
 	l.calls++
-	if l.refuse != nil {
-		return l.refuse
+	if l.err != nil {
+		return l.err
 	}
-	if l.calls <= l.lose {
+	if l.calls <= l.lostAnswers {
 		<-ctx.Done()
 		return ctx.Err()
 	}
 	return nil
 }
 
-func newForCalls(c Caller) *Promoter {
-	return New(Config{Service: "svc", Set: replicaset.New(replicaset.Config{Service: "svc"}), Caller: c})
+func newTestPromoter(c Platform) *Promoter {
+	return New(Config{Service: "svc", Set: replicaset.New(replicaset.Config{Service: "svc"}), Platform: c})
 }
 
-// TestLostAnswersOfThePlatformCostLittle replays a failover in which the
-// platform loses two answers in a row. A call that waits for as long as a slow
-// platform may take would leave the group without a primary twice as long.
-func TestLostAnswersOfThePlatformCostLittle(t *testing.T) {
-	platform := &lossyPlatform{lose: 2}
-	require.NoError(t, newForCalls(platform).call(context.Background(), "m", 7))
+// Guards against a call timeout sized for a slow platform, which would prolong a
+// failover when the platform's answers are lost.
+func TestLostPlatformAnswersAreRetriedEarly(t *testing.T) {
+	platform := &lossyPlatform{lostAnswers: 2}
+	require.NoError(t, newTestPromoter(platform).callPromote(context.Background(), "m", 7))
 	require.Equal(t, 3, platform.calls)
-	require.Equal(t, 450*time.Millisecond, callTime(0)+callTime(1))
-	require.Equal(t, lastCallTime, callTime(callTries-1), "a slow platform has its time")
+	require.Equal(t, 450*time.Millisecond, callTimeout(0)+callTimeout(1))
+	require.Equal(t, maxCallTimeout, callTimeout(maxPromoteCalls-1), "later calls allow for a slow platform")
 }
 
-type fenced struct{ error }
+type fencedError struct{ error }
 
-func (fenced) Refused() bool { return true }
+func (fencedError) Refused() bool { return true }
 
-func TestFencedCallIsNotRepeated(t *testing.T) {
-	platform := &lossyPlatform{refuse: fenced{errors.New("an older token")}}
-	require.Error(t, newForCalls(platform).call(context.Background(), "m", 7))
+func TestFencedCallIsNotRetried(t *testing.T) {
+	platform := &lossyPlatform{err: fencedError{errors.New("an older token")}}
+	require.Error(t, newTestPromoter(platform).callPromote(context.Background(), "m", 7))
 	require.Equal(t, 1, platform.calls)
 }
 
-func TestUnavailablePlatformIsCalledAFewTimes(t *testing.T) {
-	platform := &lossyPlatform{refuse: errors.New("unavailable")}
-	require.Error(t, newForCalls(platform).call(context.Background(), "m", 7))
-	require.Equal(t, callTries, platform.calls)
+func TestCallsToUnavailablePlatformAreBounded(t *testing.T) {
+	platform := &lossyPlatform{err: errors.New("unavailable")}
+	require.Error(t, newTestPromoter(platform).callPromote(context.Background(), "m", 7))
+	require.Equal(t, maxPromoteCalls, platform.calls)
 }
--- /dev/null
+++ b/node/promoter/collect_reports.go
@@ -0,0 +1,42 @@
+package promoter
+
+import (
+	"time"
+
+	"github.com/dotterelswitch/dotterelswitch/core/succession"
+)
+
+// orderResult is a replica's answer to an order, or the failure to get one.
+type orderResult struct {
+	report succession.Report
+	failed bool
+}
+
+// surveyGracePeriod is how long to wait for the other replicas once one has
+// answered, when any replica may be promoted. It covers a full queue at a member
+// and round trips between regions. Waiting for the full timeout of an unreachable
+// replica would prolong the outage.
+const surveyGracePeriod = 250 * time.Millisecond
+
+// collectReports collects the answers to an order. If oneSuffices is set, it
+// stops waiting surveyGracePeriod after the first answer. The channel must have
+// capacity for all answers, because late ones are not read.
+func collectReports(results <-chan orderResult, asked int, oneSuffices bool) []succession.Report {
+	var reports []succession.Report
+	var graceOver <-chan time.Time
+	for pending := asked; pending > 0; pending-- {
+		select {
+		case result := <-results:
+			if result.failed {
+				continue
+			}
+			reports = append(reports, result.report)
+			if oneSuffices && graceOver == nil {
+				graceOver = time.After(surveyGracePeriod)
+			}
+		case <-graceOver:
+			return reports
+		}
+	}
+	return reports
+}
--- /dev/null
+++ b/node/promoter/collect_reports_test.go
@@ -0,0 +1,59 @@
+package promoter
+
+import (
+	"testing"
+	"testing/synctest"
+	"time"
+
+	"github.com/stretchr/testify/require"
+
+	"github.com/dotterelswitch/dotterelswitch/core/succession"
+)
+
+// answerAfter sends a replica's result after a delay.
+func answerAfter(results chan<- orderResult, d time.Duration, id string, failed bool) {
+	go func() {
+		time.Sleep(d)
+		results <- orderResult{report: succession.Report{ID: id}, failed: failed}
+	}()
+}
+
+// Guards against a failover that waits for the full order timeout of an
+// unreachable replica.
+func TestSurveyDoesNotWaitForUnreachableReplica(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		results := make(chan orderResult, 2)
+		answerAfter(results, 40*time.Millisecond, "near", false)
+		answerAfter(results, 700*time.Millisecond, "silent", true)
+		started := time.Now()
+		reports := collectReports(results, 2, true)
+		require.Len(t, reports, 1)
+		require.Equal(t, 40*time.Millisecond+surveyGracePeriod, time.Since(started))
+		// The late answer must not block its sender.
+		time.Sleep(time.Second)
+	})
+}
+
+func TestSurveyWaitsForSlowReplicaWithinGracePeriod(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		results := make(chan orderResult, 2)
+		answerAfter(results, 40*time.Millisecond, "near", false)
+		answerAfter(results, 200*time.Millisecond, "slow", false)
+		require.Len(t, collectReports(results, 2, true), 2)
+	})
+}
+
+// With synchronous replicas, the slow replica may hold acknowledged commits that
+// the other one lacks.
+func TestSurveyWaitsForAllWithSynchronousReplicas(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		results := make(chan orderResult, 2)
+		answerAfter(results, 40*time.Millisecond, "near", false)
+		answerAfter(results, 650*time.Millisecond, "slow", false)
+		require.Len(t, collectReports(results, 2, false), 2)
+	})
+}
+
+func TestSurveyWithoutReplicasReturns(t *testing.T) {
+	require.Empty(t, collectReports(nil, 0, true))
+}
--- a/node/promoter/detour.go
+++ b/node/promoter/detour.go
@@ -7,16 +7,15 @@
 	"github.com/dotterelswitch/dotterelswitch/core/succession"
 )
 
-// detour has statements for a primary that this host has lost go through hosts
-// that reach it. Fault pattern: a primary is cut off from some of the hosts, too
-// few to replace it; their callers would be refused until the cut heals, though
-// the primary works.
-func (p *Promoter) detour(failed string, now time.Duration) {
-	if failed == "" || failed == noMember || !p.without.Enabled(mechanism.Detours) {
+// detour routes statements for a primary that is unreachable from this host
+// through hosts that reach it. It serves partitions that cut the primary off from
+// too few hosts to replace it.
+func (p *Promoter) detour(primary string, now time.Duration) {
+	if primary == "" || primary == noPrimary || !p.disabled.Enabled(mechanism.Detours) {
 		return
 	}
 	p.mu.Lock()
-	reaching := succession.HostsReaching(p.opinions.Current(p.lost, now))
+	reaching := succession.HostsReaching(p.opinions.Current(p.lostPrimary, now))
 	p.mu.Unlock()
 	var addresses []string
 	for _, host := range reaching {
@@ -24,5 +23,5 @@
 			addresses = append(addresses, address)
 		}
 	}
-	p.set.Detour(failed, addresses, now)
+	p.set.Detour(primary, addresses, now)
 }
--- a/node/promoter/evidence.go
+++ b/node/promoter/evidence.go
@@ -10,104 +10,107 @@
 	"github.com/dotterelswitch/dotterelswitch/node/eventlog"
 )
 
-// stallAfter is how late a look may be for this host to count as running: several
-// intervals, and longer than a processor quota holds it up.
-const stallAfter = 300 * time.Millisecond
-
-// stoodStill reports whether this host has been suspended, or without a processor,
-// since it last looked. It has heard nothing meanwhile, so that every member
-// would look silent to it.
-func (p *Promoter) stoodStill(now time.Duration) bool {
-	last := time.Duration(p.lookedAt.Load())
-	return last > 0 && now-last > stallAfter
+// suspensionThreshold is the delay between two checks from which on this process
+// is assumed to have been suspended. It spans several check intervals and CPU
+// quota throttling.
+const suspensionThreshold = 300 * time.Millisecond
+
+// wasSuspended reports whether this process did not run for a while since the
+// last check. It received nothing meanwhile, so members must not be taken for
+// silent.
+func (p *Promoter) wasSuspended(now time.Duration) bool {
+	last := time.Duration(p.lastCheck.Load())
+	return last > 0 && now-last > suspensionThreshold
 }
 
-// failedPrimary returns the member that this host takes for a dead primary,
-// noMember for a group that nobody leads, or the empty string.
+// failedPrimary returns the primary that this host considers dead, noPrimary for
+// a group without a primary, or the empty string.
 func (p *Promoter) failedPrimary(now time.Duration) string {
 	id, found := p.set.Believed()
 	if !found {
 		if len(p.set.Members()) == 0 {
-			p.leaderlessSince = 0
+			p.noPrimarySince = 0
 			return ""
 		}
-		if p.leaderlessSince == 0 {
-			p.leaderlessSince = now
+		if p.noPrimarySince == 0 {
+			p.noPrimarySince = now
 		}
-		if now-p.leaderlessSince >= leaderlessFor {
-			return noMember
+		if now-p.noPrimarySince >= noPrimaryTimeout {
+			return noPrimary
 		}
 		return ""
 	}
-	p.leaderlessSince = 0
+	p.noPrimarySince = 0
 	if m, known := p.set.Member(id); known && m.Dead(now) {
 		return id
 	}
 	return ""
 }
 
-// noteLost keeps what other hosts and the store are told of.
-func (p *Promoter) noteLost(failed string, now time.Duration) {
-	life := p.life(failed)
+// recordLoss records which primary this host considers dead, for other hosts and
+// the store.
+func (p *Promoter) recordLoss(failed string, now time.Duration) {
+	incarnation := p.incarnationOf(failed)
 	p.mu.Lock()
-	changed := life != p.lost
+	changed := incarnation != p.lostPrimary
 	if changed {
-		p.lost, p.lostSince = life, now
+		p.lostPrimary, p.lostSince = incarnation, now
 	}
 	p.mu.Unlock()
-	if changed && life != "" {
-		eventlog.PrimaryBelievedDead.Info(p.log).Str("upstream", failed).Dur("alive_ms_ago", p.aliveAgo(failed, now)).Send()
+	if changed && incarnation != "" {
+		eventlog.PrimaryBelievedDead.Info(p.log).Str("upstream", failed).Dur("alive_ms_ago", p.sinceLastAlive(failed, now)).Send()
 	}
 }
 
-// aliveAgo returns how long ago the newest thing that a member answered was sent;
-// zero for one that has answered nothing here.
-func (p *Promoter) aliveAgo(id string, now time.Duration) time.Duration {
+// sinceLastAlive returns the age of the newest evidence that a member is alive;
+// zero if there is none.
+func (p *Promoter) sinceLastAlive(id string, now time.Duration) time.Duration {
 	if m, known := p.set.Member(id); known && m.LastAlive() > 0 {
 		return now - m.LastAlive()
 	}
 	return 0
 }
 
-// life names the present life of a member, so that what is said of an earlier
-// one does not count against it.
-func (p *Promoter) life(id string) string {
+// incarnationOf names the current incarnation of a member, so that reports about
+// an earlier one do not count against it.
+func (p *Promoter) incarnationOf(id string) string {
 	if m, known := p.set.Member(id); known {
 		return m.Life()
 	}
 	return id
 }
 
-// asked reports whether another host asks about the primary.
-func (p *Promoter) asked(now time.Duration) bool {
+// wasAsked reports whether another host has recently asked about the primary.
+func (p *Promoter) wasAsked(now time.Duration) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return now < p.askedUntil
 }
 
-// doubted reports whether the primary may be lost: an exchange with it failed, it
-// is silent, or another host has said so in the store.
+// primarySuspected reports whether the primary may be dead: its health is in
+// doubt here, or another host has reported it in the store.
 //
-// Load pattern: the store tells a report to the whole fleet. Only the voters and
-// the holder of the lock heed it; were all 300 hosts to ask the holder on hearsay,
-// it would answer 5,000 datagrams a second, on a fifth of a core, while it leads
-// the promotion.
-func (p *Promoter) doubted(now time.Duration) bool {
+// Every host sees a report in the store, but only the voters and the lock holder
+// act on it. If all hosts of a large fleet asked the holder, they would overload
+// it while it leads the promotion.
+func (p *Promoter) primarySuspected(now time.Duration) bool {
 	id, found := p.set.Believed()
 	if !found {
-		// A group without members has just become known; its members come next.
+		// The members of a newly declared group may not be registered yet.
 		return len(p.set.Members()) > 0
 	}
 	m, known := p.set.Member(id)
-	return !known || m.Doubtful(now) || (p.heedsReports() && len(p.registry.Suspecting(p.service, m.Life())) > 0)
+	return !known || m.Doubtful(now) || (p.actsOnReports() && len(p.registry.Suspecting(p.service, m.Life())) > 0)
 }
 
-// heedsReports reports whether this host acts on what others say of a primary.
-func (p *Promoter) heedsReports() bool {
+// actsOnReports reports whether this host reacts to other hosts' reports of a
+// dead primary.
+func (p *Promoter) actsOnReports() bool {
 	return p.set.Votes() || p.registry.LockOf(p.service).Holder == p.host
 }
 
-// corroborate passes on whether other hosts have lost the primary as well.
+// corroborate tells the failure detector whether other hosts also consider the
+// primary dead.
 func (p *Promoter) corroborate(now time.Duration) {
 	id, found := p.set.Believed()
 	if !found {
@@ -117,30 +120,30 @@
 	if !known {
 		return
 	}
-	others := slices.DeleteFunc(p.suspecting(m.Life(), now), func(host string) bool { return host == p.host })
+	others := slices.DeleteFunc(p.suspectingHosts(m.Life(), now), func(host string) bool { return host == p.host })
 	m.Corroborate(len(others) > 0)
 }
 
-// suspecting returns the hosts that have said, directly or in the store, that
-// they have lost a primary.
-func (p *Promoter) suspecting(life string, now time.Duration) []string {
+// suspectingHosts returns the hosts that have reported a primary as dead,
+// directly or in the store.
+func (p *Promoter) suspectingHosts(incarnation string, now time.Duration) []string {
 	p.mu.Lock()
-	told := succession.HostsSuspecting(p.opinions.Current(life, now))
+	hosts := succession.HostsSuspecting(p.opinions.Current(incarnation, now))
 	p.mu.Unlock()
-	if !p.without.Enabled(mechanism.DirectVotes) {
-		told = nil
+	if !p.disabled.Enabled(mechanism.DirectVotes) {
+		hosts = nil
 	}
-	for _, host := range p.registry.Suspecting(p.service, life) {
-		if !slices.Contains(told, host) {
-			told = append(told, host)
+	for _, host := range p.registry.Suspecting(p.service, incarnation) {
+		if !slices.Contains(hosts, host) {
+			hosts = append(hosts, host)
 		}
 	}
-	return told
+	return hosts
 }
 
-// agreed reports whether enough hosts have lost the primary.
-func (p *Promoter) agreed(failed string, now time.Duration) bool {
-	suspecting := p.suspecting(p.life(failed), now)
+// lossAgreed reports whether a majority of the voters considers the primary dead.
+func (p *Promoter) lossAgreed(failed string, now time.Duration) bool {
+	suspecting := p.suspectingHosts(p.incarnationOf(failed), now)
 	if !slices.Contains(suspecting, p.host) {
 		suspecting = append(suspecting, p.host)
 	}
@@ -152,26 +155,27 @@
 }
 
 const (
-	// verifyInterval spaces the probes of a primary in doubt.
-	verifyInterval = 60 * time.Millisecond
-	// provenFor is how long an answer of the primary settles a doubt. Each probe
-	// takes one of its slots for a moment; nine voters that went on probing made
-	// 15 times as many, 664 in place of 42 on a day of freezes and resets.
-	provenFor = 300 * time.Millisecond
+	// probeInterval is the minimum time between two probes of a suspected
+	// primary.
+	probeInterval = 60 * time.Millisecond
+	// aliveEvidenceTTL is how long an answer of the primary makes further probes
+	// unnecessary. Each probe occupies a slot of the primary, so voters must not
+	// probe continuously.
+	aliveEvidenceTTL = 300 * time.Millisecond
 )
 
-// verify probes a primary that is in doubt until it is known to live or to be
-// dead. A host without traffic would have no evidence of its own, and its voice
-// would be missing.
-func (p *Promoter) verify(ctx context.Context, now time.Duration) {
+// probeSuspect probes a suspected primary until it is known to be alive or dead.
+// Without probes, voters without traffic would have no evidence of their own and
+// could not vote.
+func (p *Promoter) probeSuspect(ctx context.Context, now time.Duration) {
 	id, found := p.set.Believed()
-	if !found || now-p.verifiedAt < verifyInterval || !p.set.Votes() {
+	if !found || now-p.probedAt < probeInterval || !p.set.Votes() {
 		return
 	}
 	m, known := p.set.Member(id)
-	if !known || m.Dead(now) || now-m.LastAlive() < provenFor {
+	if !known || m.Dead(now) || now-m.LastAlive() < aliveEvidenceTTL {
 		return
 	}
-	p.verifiedAt = now
+	p.probedAt = now
 	p.set.Examine(ctx, m)
 }
--- a/node/promoter/lead.go
+++ b/node/promoter/lead.go
@@ -11,43 +11,44 @@
 	"github.com/dotterelswitch/dotterelswitch/node/eventlog"
 )
 
-// act runs a promotion if this host holds the lock, or takes the lock once it is
-// its turn. Failed is the primary that is replaced, empty for one that leaves.
-func (p *Promoter) act(ctx context.Context, now time.Duration, failed string, promote func(context.Context, uint64) error) {
+// tryPromotion runs a promotion if this host holds the lock, or takes the lock
+// first once it is this host's turn. Failed is the dead primary to replace; empty
+// for a planned handover.
+func (p *Promoter) tryPromotion(ctx context.Context, now time.Duration, failed string, promote func(context.Context, uint64) error) {
 	if p.readySince == 0 {
 		p.readySince = now
 	}
-	lock, life := p.registry.LockOf(p.service), p.subject()
+	lock, incarnation := p.registry.LockOf(p.service), p.currentPrimary()
 	p.mu.Lock()
-	quiet := now < p.quietUntil
-	holds := lock.Holder == p.host && lock.Token() == p.token && lock.Token() > p.fenced
-	opinions := p.opinions.Current(life, now)
+	backingOff := now < p.backoffUntil
+	holds := lock.Holder == p.host && lock.Token() == p.newestToken && lock.Token() > p.fencedToken
+	opinions := p.opinions.Current(incarnation, now)
 	p.mu.Unlock()
-	away := p.registry.Away()
-	able := !quiet && holds && p.without.Enabled(mechanism.StandingLeader) && succession.MayLead(p.host, lock, !away, opinions)
-	p.leading.Store(able)
+	storeAway := p.registry.Away()
+	mayLead := !backingOff && holds && p.disabled.Enabled(mechanism.StandingLeader) && succession.MayLead(p.host, lock, !storeAway, opinions)
+	p.leading.Store(mayLead)
 	switch {
-	case able:
+	case mayLead:
 		eventlog.LossAgreed.Info(p.log).Str("upstream", failed).Uint64("token", lock.Token()).
-			Bool("store_away", away).Int("opinions", len(opinions)).Send()
-		p.lead(ctx, lock.Token(), promote)
-	case !quiet && !away && now >= p.turn(lock):
+			Bool("store_away", storeAway).Int("opinions", len(opinions)).Send()
+		p.runPromotion(ctx, lock.Token(), promote)
+	case !backingOff && !storeAway && now >= p.earliestTakeover(lock):
 		p.takeOver(ctx, lock, promote)
 	}
 }
 
-// turn returns when this host may take the lock.
-func (p *Promoter) turn(lock succession.Lock) time.Duration {
-	rank := p.rank(lock.Holder)
+// earliestTakeover returns when this host may take the lock.
+func (p *Promoter) earliestTakeover(lock succession.Lock) time.Duration {
+	rank := p.takeoverRank(lock.Holder)
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	vacant := lock.Holder == "" || lock.Holder == p.host || !p.without.Enabled(mechanism.StandingLeader)
-	return succession.EarliestStart(rank, vacant, p.readySince, p.leaderSeen)
+	vacant := lock.Holder == "" || lock.Holder == p.host || !p.disabled.Enabled(mechanism.StandingLeader)
+	return succession.EarliestStart(rank, vacant, p.readySince, p.leaderSeenAt)
 }
 
-// rank is this host's place in the order in which hosts take the lock from its
-// holder.
-func (p *Promoter) rank(holder string) int {
+// takeoverRank returns this host's position in the order in which hosts take over
+// the lock from its holder.
+func (p *Promoter) takeoverRank(holder string) int {
 	order := slices.DeleteFunc(succession.RankHosts(p.service, p.registry.Hosts()), func(host string) bool {
 		return host == holder && host != p.host
 	})
@@ -58,42 +59,42 @@
 func (p *Promoter) takeOver(ctx context.Context, lock succession.Lock, promote func(context.Context, uint64) error) {
 	token, err := p.takeLock(ctx, lock)
 	if err != nil {
-		p.quiet(pauseAfterFailure)
+		p.backOff(attemptBackoff)
 		return
 	}
 	eventlog.LockTaken.Info(p.log).Uint64("token", token).Str("from", lock.Holder).Send()
 	p.leading.Store(true)
-	p.lead(ctx, token, promote)
+	p.runPromotion(ctx, token, promote)
 }
 
-// lead runs one promotion under a token.
-func (p *Promoter) lead(ctx context.Context, token uint64, promote func(context.Context, uint64) error) {
-	ctx, cancel := context.WithTimeout(ctx, attemptTime)
+// runPromotion runs one promotion with the given fencing token.
+func (p *Promoter) runPromotion(ctx context.Context, token uint64, promote func(context.Context, uint64) error) {
+	ctx, cancel := context.WithTimeout(ctx, promotionTimeout)
 	defer cancel()
 	err := promote(ctx, token)
 	p.observe(resultOf(err))
 	if err != nil {
 		eventlog.OrderFailed.Warn(p.log).Err(err).Str("order", "promotion").Uint64("token", token).Send()
-		if refused(err) {
-			p.fenced = token
+		if tokenRefused(err) {
+			p.fencedToken = token
 		}
 	}
-	p.quiet(pauseAfterFailure)
+	p.backOff(attemptBackoff)
 	p.leading.Store(false)
 	p.readySince = 0
 }
 
-// quiet has this host lead nothing for a while.
-func (p *Promoter) quiet(d time.Duration) {
+// backOff keeps this host from leading a promotion for a while.
+func (p *Promoter) backOff(d time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.quietUntil = max(p.quietUntil, clock.Now()+d)
+	p.backoffUntil = max(p.backoffUntil, clock.Now()+d)
 }
 
-// lockTimeout bounds a change of the lock.
+// lockTimeout bounds one attempt to take the lock.
 const lockTimeout = time.Second
 
-// takeLock takes the lock of the service, provided that it is as known.
+// takeLock takes the service's lock if it is unchanged since known.
 func (p *Promoter) takeLock(ctx context.Context, known succession.Lock) (uint64, error) {
 	ctx, cancel := context.WithTimeout(ctx, lockTimeout)
 	defer cancel()
@@ -104,6 +105,6 @@
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.token = max(p.token, token)
+	p.newestToken = max(p.newestToken, token)
 	return token, nil
 }
--- a/node/promoter/hearsay_test.go
+++ b/node/promoter/primary_report_test.go
@@ -20,8 +20,7 @@
 	"github.com/dotterelswitch/dotterelswitch/node/replicaset"
 )
 
-// reportingRegistry is the store's picture of a fleet in which one host has
-// reported the primary dead.
+// reportingRegistry is a store in which one host has reported the primary dead.
 type reportingRegistry struct {
 	hosts  []string
 	holder string
@@ -53,9 +52,9 @@
 func (p *countingPeers) AddressOf(string) (string, bool)      { return "", false }
 func (p *countingPeers) Announce(string, string, logpos.Term) {}
 
-// TestReportIsHeededByVotersOnly replays the report of a dead primary, which the
-// store tells to all hosts: few ask others about it, however large the fleet.
-func TestReportIsHeededByVotersOnly(t *testing.T) {
+// Guards against a report in the store making every host of a large fleet ask
+// others about the primary.
+func TestOnlyVotersActOnReports(t *testing.T) {
 	for _, size := range []int{30, 300} {
 		t.Run(fmt.Sprint(size, " hosts"), func(t *testing.T) {
 			var hosts []gates.Host
@@ -74,9 +73,9 @@
 				set.Update([]directory.Member{member}, catalog.Service{MaxConnections: 88}, fleet)
 				p := New(Config{Service: "svc", Host: h.Name, Set: set, Registry: registry, Peers: peers, Log: zerolog.Nop()})
 				before := peers.questions.Load()
-				p.askOthers(ctx, clock.Now(), p.doubted(clock.Now()), false)
-				require.Eventually(t, func() bool { return !p.heedsReports() || peers.questions.Load() > before }, 20*time.Second, time.Millisecond)
-				if p.doubted(clock.Now()) {
+				p.requestOpinions(ctx, clock.Now(), p.primarySuspected(clock.Now()), false)
+				require.Eventually(t, func() bool { return !p.actsOnReports() || peers.questions.Load() > before }, 20*time.Second, time.Millisecond)
+				if p.primarySuspected(clock.Now()) {
 					asking++
 				}
 			}
--- a/node/promoter/promoter.go
+++ b/node/promoter/promoter.go
@@ -1,6 +1,7 @@
-// Package promoter replaces primaries: those that enough hosts have lost, and
-// those that leave as planned. Every host runs it; the holder of the service's
-// lock in the platform's store leads, and the lock's revision fences its orders.
+// Package promoter fails over primaries that a majority of voters consider dead,
+// and hands over primaries that are being drained. Every host runs it. The holder
+// of the service's lock in the platform's store leads the promotion; the lock's
+// revision is the fencing token of its orders.
 package promoter
 
 import (
@@ -20,154 +21,161 @@
 	"github.com/dotterelswitch/dotterelswitch/node/replicaset"
 )
 
-// Caller orders promotions from the platform.
-type Caller interface {
+// Platform is the platform's promotion API.
+type Platform interface {
 	Promote(ctx context.Context, service, member string, token uint64) error
 }
 
-// Registry is what a promoter needs of the platform's store.
+// Registry gives access to the platform's store.
 type Registry interface {
 	Hosts() []string
 	Suspecting(service, member string) []string
-	// Away reports whether this host does not reach the store.
+	// Away reports whether the store cannot be reached from this host.
 	Away() bool
-	// Epoch returns the store's epoch as far as this host has heard.
+	// Epoch returns the newest store epoch that this host has observed.
 	Epoch() store.Epoch
 	LockOf(service string) succession.Lock
-	// TakeLock takes a lock that is still as known and returns its token.
+	// TakeLock takes the service's lock if it is unchanged since known, and
+	// returns its fencing token.
 	TakeLock(ctx context.Context, service string, known succession.Lock) (token uint64, err error)
 	Suspect(ctx context.Context, service, member string) error
 	Trust(ctx context.Context, service, member string) error
 }
 
-// Peers is what a promoter asks other hosts directly.
+// Peers carries direct messages to other hosts.
 type Peers interface {
-	// Opinion asks a host whether it has lost a primary. It reports false when
-	// the host does not answer in time.
+	// Opinion asks a host whether it considers a primary dead. It reports false
+	// if the host does not answer in time.
 	Opinion(ctx context.Context, service, primary, host string) (succession.Opinion, bool)
-	// AddressOf returns where a host takes statements of others.
+	// AddressOf returns the address at which a host accepts forwarded statements.
 	AddressOf(host string) (string, bool)
-	// Announce tells all hosts who leads. It does not wait.
+	// Announce sends the new primary to all hosts without waiting for them.
 	Announce(service, primary string, term logpos.Term)
 }
 
 const (
-	// Interval is how often a group is glanced at, and doubtInterval how often it is
-	// looked at while its primary is in doubt: callers wait meanwhile.
-	Interval      = 100 * time.Millisecond
-	doubtInterval = 50 * time.Millisecond
-	// noMember stands for the primary of a group in which nobody leads.
-	noMember = "none"
-	// leaderlessFor is how long a group must be seen without any primary before
-	// that is reported: longer than a promotion that is under way takes to show.
-	leaderlessFor = 1500 * time.Millisecond
-	// attemptTime bounds one promotion, so that a group is not held up for ever.
-	attemptTime = 5 * time.Second
-	// pauseAfterFailure spaces attempts.
-	pauseAfterFailure = 500 * time.Millisecond
+	// CheckInterval is how often a healthy group is checked, and
+	// suspectCheckInterval how often while its primary is suspected.
+	CheckInterval        = 100 * time.Millisecond
+	suspectCheckInterval = 50 * time.Millisecond
+	// noPrimary takes the place of the primary's ID in a group without a primary.
+	noPrimary = "none"
+	// noPrimaryTimeout is how long a group must have no primary before that
+	// counts as a loss. It exceeds the time until a promotion in progress becomes
+	// visible.
+	noPrimaryTimeout = 1500 * time.Millisecond
+	// promotionTimeout bounds one promotion.
+	promotionTimeout = 5 * time.Second
+	// attemptBackoff is the minimum time between two promotion attempts of this
+	// host.
+	attemptBackoff = 500 * time.Millisecond
 )
 
-// Promoter looks after one group.
+// Promoter runs failover and planned handover for one group.
 type Promoter struct {
 	service  string
 	host     string
 	set      *replicaset.Set
 	registry Registry
-	caller   Caller
+	platform Platform
 	peers    Peers
 	spec     func() catalog.Service
 	observe  func(Result)
-	without  mechanism.Disabled
+	disabled mechanism.Disabled
 	log      zerolog.Logger
 
-	// wake has the group looked at now, and keep what the store is told of it.
-	wake, keep chan struct{}
-	// attending is held while the group is looked at; keeping while what the store
-	// is told of it is brought up to date. Neither is taken while the other is held.
-	attending, keeping sync.Mutex
-	// lookedAt is when the group was last looked at, on the clock of node/clock.
-	lookedAt atomic.Int64
-	// leading tells other hosts that this one leads a promotion, or is about to.
+	// wake triggers a check of the group, storeWake a synchronization with the
+	// store.
+	wake, storeWake chan struct{}
+	// checkMu is held during a check of the group, storeMu while the store is
+	// brought up to date. Neither is acquired while the other is held.
+	checkMu, storeMu sync.Mutex
+	// lastCheck is when the group was last checked, on the clock of node/clock.
+	lastCheck atomic.Int64
+	// leading is whether this host leads a promotion or is about to start one.
 	leading atomic.Bool
 
-	// The fields up to keeper belong to who holds attending.
+	// checkMu guards the fields up to storeSync.
 
-	// leaderlessSince is when no primary was first seen; zero while there is.
-	leaderlessSince time.Duration
-	// readySince is when the present reason to act was first seen.
+	// noPrimarySince is when the group was first seen without a primary; zero
+	// while it has one.
+	noPrimarySince time.Duration
+	// readySince is when the condition for a promotion was first met.
 	readySince time.Duration
-	// verifiedAt is when a primary in doubt was last probed.
-	verifiedAt time.Duration
-	// fenced is the newest token that the platform has refused; it is not used
-	// again.
-	fenced uint64
+	// probedAt is when a suspected primary was last probed.
+	probedAt time.Duration
+	// fencedToken is the newest token that the platform has refused; it is not
+	// used again.
+	fencedToken uint64
 
-	// keeper belongs to who holds keeping.
-	keeper storeKeeper
+	// storeSync is guarded by storeMu.
+	storeSync storeSync
 
-	// mu guards the fields below; it is a leaf.
+	// mu guards the fields below. No other lock is acquired while it is held.
 	mu sync.Mutex
-	// lost is the primary that this host has lost, since lostSince; empty while
-	// it has not.
-	lost      string
-	lostSince time.Duration
-	// askedUntil is until when another host's question keeps the primary in doubt.
-	askedUntil time.Duration
-	quietUntil time.Duration
-	// token is the newest that this host has taken since it started.
-	token    uint64
-	opinions succession.Opinions
-	// askedAt is when each host was last asked.
+	// lostPrimary is the primary that this host considers dead, and lostSince
+	// since when; empty for none.
+	lostPrimary string
+	lostSince   time.Duration
+	// askedUntil is until when a question from another host keeps the primary
+	// under suspicion.
+	askedUntil   time.Duration
+	backoffUntil time.Duration
+	// newestToken is the newest token that this host has acquired since it
+	// started.
+	newestToken uint64
+	opinions    succession.Opinions
+	// askedAt is when each host was last asked for its opinion.
 	askedAt map[string]time.Duration
-	// leaderSeen is when the holder of the lock last said that it leads.
-	leaderSeen time.Duration
+	// leaderSeenAt is when the lock holder last reported that it leads a
+	// promotion.
+	leaderSeenAt time.Duration
 }
 
-// Config is what a Promoter needs from its surroundings.
+// Config holds a Promoter's settings and dependencies.
 type Config struct {
 	Service, Host string
 	Set           *replicaset.Set
 	Registry      Registry
-	Caller        Caller
+	Platform      Platform
 	Peers         Peers
-	// Spec returns the operators' declaration of the service.
+	// Spec returns the declared configuration of the service.
 	Spec func() catalog.Service
-	// Observe is told of each promotion that this host has led.
+	// Observe receives the result of each promotion that this host has led.
 	Observe func(Result)
-	// Without is what the host is run without.
-	Without mechanism.Disabled
-	Log     zerolog.Logger
+	// Disabled lists the mechanisms that are switched off on this host.
+	Disabled mechanism.Disabled
+	Log      zerolog.Logger
 }
 
 // New returns a promoter; Run starts it.
 func New(cfg Config) *Promoter {
 	return &Promoter{
-		service: cfg.Service, host: cfg.Host, set: cfg.Set, registry: cfg.Registry, caller: cfg.Caller, peers: cfg.Peers,
-		spec: cfg.Spec, observe: cfg.Observe, without: cfg.Without, log: cfg.Log.With().Str("service", cfg.Service).Logger(),
-		wake: make(chan struct{}, 1), keep: make(chan struct{}, 1), askedAt: map[string]time.Duration{},
+		service: cfg.Service, host: cfg.Host, set: cfg.Set, registry: cfg.Registry, platform: cfg.Platform, peers: cfg.Peers,
+		spec: cfg.Spec, observe: cfg.Observe, disabled: cfg.Disabled, log: cfg.Log.With().Str("service", cfg.Service).Logger(),
+		wake: make(chan struct{}, 1), storeWake: make(chan struct{}, 1), askedAt: map[string]time.Duration{},
 	}
 }
 
-// Run looks after the group until the context ends, whenever Tick or Wake finds
-// that it needs that.
+// Run checks the group whenever Tick or Wake requests it, until the context ends.
 func (p *Promoter) Run(ctx context.Context) {
-	go p.runKeeper(ctx)
+	go p.runStoreSync(ctx)
 	for {
 		select {
 		case <-p.wake:
-			p.attend(ctx)
+			p.checkUntilHealthy(ctx)
 		case <-ctx.Done():
 			return
 		}
 	}
 }
 
-// attend looks at the group until it is calm.
-func (p *Promoter) attend(ctx context.Context) {
-	p.attending.Lock()
-	defer p.attending.Unlock()
-	for p.look(ctx) {
-		timer := time.NewTimer(doubtInterval)
+// checkUntilHealthy repeats the check until the group is healthy.
+func (p *Promoter) checkUntilHealthy(ctx context.Context) {
+	p.checkMu.Lock()
+	defer p.checkMu.Unlock()
+	for p.check(ctx) {
+		timer := time.NewTimer(suspectCheckInterval)
 		select {
 		case <-timer.C:
 		case <-p.wake:
@@ -179,28 +187,27 @@
 	}
 }
 
-// Tick glances at the group, and has it attended to if it needs that. It does not
-// wait. Load pattern: every host has a promoter for every group, and nearly all
-// groups are calm. With two timers for each of 20 groups a host woke 400 times a
-// second for nothing; now one timer serves all of them.
+// Tick assesses the group and triggers a full check if it is not healthy. It does
+// not block. One timer calls it for all groups of a host, because nearly all
+// groups are healthy at any time.
 func (p *Promoter) Tick(now time.Duration) {
-	if p.attending.TryLock() {
-		calm := p.glance(now).calm()
-		p.attending.Unlock()
-		if !calm {
+	if p.checkMu.TryLock() {
+		healthy := p.assess(now).healthy()
+		p.checkMu.Unlock()
+		if !healthy {
 			p.Wake()
 		}
 	}
-	if p.keeping.TryLock() {
-		due := p.storeDue(now)
-		p.keeping.Unlock()
+	if p.storeMu.TryLock() {
+		due := p.storeSyncDue(now)
+		p.storeMu.Unlock()
 		if due {
-			signal(p.keep)
+			signal(p.storeWake)
 		}
 	}
 }
 
-// signal makes a channel ready unless it is.
+// signal makes a channel of capacity one ready without blocking.
 func signal(ch chan<- struct{}) {
 	select {
 	case ch <- struct{}{}:
@@ -208,56 +215,56 @@
 	}
 }
 
-// Leading reports whether this host leads a promotion, or is about to.
+// Leading reports whether this host leads a promotion or is about to start one.
 func (p *Promoter) Leading() bool { return p.leading.Load() }
 
-// Wake has the group looked at now.
+// Wake triggers an immediate check of the group.
 func (p *Promoter) Wake() { signal(p.wake) }
 
-// glance is what a first look at the group shows.
-type glance struct {
-	// failed is the member that this host takes for a dead primary; empty for none.
+// assessment is this host's view of the primary's health.
+type assessment struct {
+	// failed is the primary that this host considers dead; empty for none.
 	failed string
-	// leaves tells that the primary leaves by plan, doubted that it may be lost, and
-	// asked that another host asks about it.
-	leaves, doubted, asked bool
+	// draining is whether the primary is being drained, suspected whether it may
+	// be dead, and asked whether another host has asked about it.
+	draining, suspected, asked bool
 }
 
-func (g glance) calm() bool { return !g.leaves && !g.doubted && !g.asked }
+func (a assessment) healthy() bool { return !a.draining && !a.suspected && !a.asked }
 
-// glance sees whether the group needs attention. It is called with attending held.
-func (p *Promoter) glance(now time.Duration) glance {
-	if p.stoodStill(now) {
+// assess evaluates the state of the group. It is called with checkMu held.
+func (p *Promoter) assess(now time.Duration) assessment {
+	if p.wasSuspended(now) {
 		p.set.Resumed(now)
 	}
-	p.lookedAt.Store(int64(now))
+	p.lastCheck.Store(int64(now))
 	p.corroborate(now)
-	g := glance{failed: p.failedPrimary(now), asked: p.asked(now)}
-	p.noteLost(g.failed, now)
-	g.leaves = g.failed == "" && p.handoverDue()
-	g.doubted = g.failed != "" || p.doubted(now)
-	return g
+	a := assessment{failed: p.failedPrimary(now), asked: p.wasAsked(now)}
+	p.recordLoss(a.failed, now)
+	a.draining = a.failed == "" && p.handoverDue()
+	a.suspected = a.failed != "" || p.primarySuspected(now)
+	return a
 }
 
-// look acts when it is this host's turn. It reports whether the group is to be
-// looked at again soon.
-func (p *Promoter) look(ctx context.Context) bool {
+// check gathers evidence about a suspected primary and starts a promotion if this
+// host is to lead it. It reports whether the group must be checked again soon.
+func (p *Promoter) check(ctx context.Context) bool {
 	now := clock.Now()
-	g := p.glance(now)
-	defer func() { p.lookedAt.Store(int64(clock.Now())) }()
-	if g.calm() {
+	a := p.assess(now)
+	defer func() { p.lastCheck.Store(int64(clock.Now())) }()
+	if a.healthy() {
 		p.leading.Store(false)
 		p.readySince = 0
 		return false
 	}
-	p.verify(ctx, now)
-	p.askOthers(ctx, now, g.doubted, g.failed != "")
-	p.detour(g.failed, now)
+	p.probeSuspect(ctx, now)
+	p.requestOpinions(ctx, now, a.suspected, a.failed != "")
+	p.detour(a.failed, now)
 	switch {
-	case g.failed != "" && p.agreed(g.failed, now):
-		p.act(ctx, now, g.failed, func(ctx context.Context, token uint64) error { return p.replace(ctx, g.failed, token) })
-	case g.leaves:
-		p.act(ctx, now, "", p.handOver)
+	case a.failed != "" && p.lossAgreed(a.failed, now):
+		p.tryPromotion(ctx, now, a.failed, func(ctx context.Context, token uint64) error { return p.replace(ctx, a.failed, token) })
+	case a.draining:
+		p.tryPromotion(ctx, now, "", p.handOver)
 	default:
 		p.leading.Store(false)
 		p.readySince = 0
--- a/node/promoter/replace.go
+++ b/node/promoter/replace.go
@@ -16,25 +16,25 @@
 )
 
 var (
-	errNoCandidate = errors.New("too few replicas answered to choose one")
-	errRecovered   = errors.New("the primary answers again")
-	errNotSeen     = errors.New("the new primary did not show in time")
+	errNoCandidate       = errors.New("too few replicas answered to choose a new primary")
+	errRecovered         = errors.New("the primary is alive again")
+	errNewPrimaryNotSeen = errors.New("the promoted member did not become primary in time")
 )
 
 const (
-	// surveyTries is how often the replicas are asked before it is given up.
-	surveyTries = 3
-	// showTime bounds the wait for a promoted member to lead; the deployments'
-	// members take 300 to 1000 ms.
-	showTime = 2500 * time.Millisecond
-	showPoll = 20 * time.Millisecond
-	// pollsPerProbe is how many looks there are for one probe of the member, which
-	// takes one of its slots for a moment.
+	// maxSurveyRounds bounds how often the replicas are queried for one
+	// promotion.
+	maxSurveyRounds = 3
+	// newPrimaryTimeout bounds the wait until a promoted member becomes primary.
+	newPrimaryTimeout      = 2500 * time.Millisecond
+	newPrimaryPollInterval = 20 * time.Millisecond
+	// pollsPerProbe is the number of local checks for each probe of the member,
+	// because a probe occupies one of its slots.
 	pollsPerProbe = 3
 )
 
-// replace promotes the replica that has received most, in place of a primary
-// that is dead.
+// replace promotes the replica with the most advanced log in place of a dead
+// primary.
 func (p *Promoter) replace(ctx context.Context, failed string, token uint64) error {
 	reports, err := p.survey(ctx, failed)
 	if err != nil {
@@ -61,7 +61,7 @@
 	return nil
 }
 
-// replicas counts the members besides the one that failed.
+// replicas returns the number of members other than the failed one.
 func (p *Promoter) replicas(failed string) int {
 	count := 0
 	for _, m := range p.set.Members() {
@@ -72,24 +72,23 @@
 	return count
 }
 
-// survey stops the replicas from receiving and asks what they have, so that what
-// is compared cannot change any more. The order to stop is the question as well:
-// asking for the newest term first cost a trip between regions and a turn in each
-// replica's queue, 40 of the 190 ms between agreement and the platform's call.
+// survey pauses replication on the replicas and returns their positions, which
+// cannot change afterwards. The first order already carries a guessed term:
+// asking for the current term first would cost another round trip.
 func (p *Promoter) survey(ctx context.Context, failed string) ([]succession.Report, error) {
 	var reports []succession.Report
 	leading := map[string]bool{}
 	newest := p.set.Term()
-	for range surveyTries {
+	for range maxSurveyRounds {
 		term := newest + 1
-		asked := p.askReplicas(ctx, failed, func(id string) statement.Operation { return halt(leading[id], term) })
+		asked := p.orderReplicas(ctx, failed, func(id string) statement.Operation { return pauseOrder(leading[id], term) })
 		reports = nil
 		for _, r := range asked {
 			newest = max(newest, r.Status.Term)
 			if r.Status.Primary && !p.set.LostLog(r.ID, r.Status) {
 				return asked, errRecovered
 			}
-			// An order of a term that the member knows already changes nothing.
+			// A member ignores an order of a term that it already knows.
 			stopped := r.Status.PausedTerm >= term || leading[r.ID]
 			if stopped && !r.Status.Primary {
 				reports = append(reports, r)
@@ -106,24 +105,26 @@
 	return reports, errNoCandidate
 }
 
-// halt returns the order that keeps a member's log as it is. A primary that has
-// started again without its log steps down, so that a fuller one can follow it.
-func halt(leads bool, term logpos.Term) statement.Operation {
+// pauseOrder returns the order that freezes a member's log. A primary that has
+// restarted without its log steps down, so that it can follow a more complete
+// one.
+func pauseOrder(leads bool, term logpos.Term) statement.Operation {
 	if leads {
 		return statement.Operation{Verb: statement.StepDown, Term: term}
 	}
 	return statement.Operation{Verb: statement.PauseReplication, Term: term}
 }
 
-// always gives every member the same order.
-func always(op statement.Operation) func(string) statement.Operation {
+// sameOrder gives every member the same order.
+func sameOrder(op statement.Operation) func(string) statement.Operation {
 	return func(string) statement.Operation { return op }
 }
 
-// askReplicas sends an order to each member but one and collects the answers.
-func (p *Promoter) askReplicas(ctx context.Context, failed string, order func(id string) statement.Operation) []succession.Report {
+// orderReplicas sends an order to all members except one and collects the
+// answers.
+func (p *Promoter) orderReplicas(ctx context.Context, failed string, order func(id string) statement.Operation) []succession.Report {
 	members := p.set.Members()
-	answers := make(chan answer, len(members))
+	results := make(chan orderResult, len(members))
 	asked := 0
 	for _, m := range members {
 		if m.ID() == failed {
@@ -135,13 +136,13 @@
 			if err != nil {
 				eventlog.OrderFailed.Info(p.log).Err(err).Str("upstream", m.ID()).Str("order", "survey").Send()
 			}
-			answers <- answer{report: succession.Report{ID: m.ID(), Leaving: m.Leaving(), Status: st}, failed: err != nil}
+			results <- orderResult{report: succession.Report{ID: m.ID(), Leaving: m.Leaving(), Status: st}, failed: err != nil}
 		}()
 	}
-	return gather(answers, asked, p.spec().SyncReplicas == 0)
+	return collectReports(results, asked, p.spec().SyncReplicas == 0)
 }
 
-// resume lets paused replicas receive again.
+// resume restarts replication on paused replicas.
 func (p *Promoter) resume(ctx context.Context, reports []succession.Report) {
 	for _, r := range reports {
 		if m, known := p.set.Member(r.ID); known {
@@ -152,62 +153,63 @@
 	}
 }
 
-// promote orders a promotion and waits until the member leads.
+// promote orders a promotion and waits until the member is primary.
 func (p *Promoter) promote(ctx context.Context, chosen succession.Report, token uint64) error {
-	began := clock.Now()
+	started := clock.Now()
 	eventlog.PromotionOrdered.Info(p.log).Str("upstream", chosen.ID).Uint64("token", token).Stringer("received", chosen.Status.Received).Send()
-	if err := p.call(ctx, chosen.ID, token); err != nil {
+	if err := p.callPromote(ctx, chosen.ID, token); err != nil {
 		return err
 	}
-	if err := p.awaitLead(ctx, chosen.ID); err != nil {
+	if err := p.awaitNewPrimary(ctx, chosen.ID); err != nil {
 		return err
 	}
-	if p.without.Enabled(mechanism.Announcement) {
+	if p.disabled.Enabled(mechanism.Announcement) {
 		p.peers.Announce(p.service, chosen.ID, p.set.Term())
 	}
 	eventlog.Promoted.Info(p.log).Str("upstream", chosen.ID).Uint64("token", token).
-		Stringer("received", chosen.Status.Received).Dur("took", clock.Now()-began).Send()
+		Stringer("received", chosen.Status.Received).Dur("took", clock.Now()-started).Send()
 	return nil
 }
 
-// awaitLead waits until a member that was promoted leads. The store's news tell,
-// and the member itself, which is asked because the store may be away.
-func (p *Promoter) awaitLead(ctx context.Context, id string) error {
+// awaitNewPrimary waits until a promoted member is primary. It also probes the
+// member, because the store may be unreachable.
+func (p *Promoter) awaitNewPrimary(ctx context.Context, id string) error {
 	m, known := p.set.Member(id)
 	if !known {
-		return fmt.Errorf("%w: %s", errNotSeen, id)
+		return fmt.Errorf("%w: %s", errNewPrimaryNotSeen, id)
 	}
-	began := clock.Now()
-	for tick := 0; clock.Now() < began+showTime && ctx.Err() == nil; tick++ {
-		if p.leads(id) {
+	started := clock.Now()
+	for tick := 0; clock.Now() < started+newPrimaryTimeout && ctx.Err() == nil; tick++ {
+		if p.isPrimary(id) {
 			return nil
 		}
 		if tick%pollsPerProbe == 0 {
 			p.set.Check(ctx, m)
 		}
-		clock.Sleep(ctx, showPoll)
+		clock.Sleep(ctx, newPrimaryPollInterval)
 	}
-	return fmt.Errorf("%w: %s", errNotSeen, id)
+	return fmt.Errorf("%w: %s", errNewPrimaryNotSeen, id)
 }
 
-func (p *Promoter) leads(id string) bool {
-	now, found := p.set.Believed()
-	return found && now == id
+func (p *Promoter) isPrimary(id string) bool {
+	primary, found := p.set.Believed()
+	return found && primary == id
 }
 
 const (
-	// closeEnough is how many entries a replica may be behind when the primary
-	// is told to step down: what it receives within its usual lag.
-	closeEnough logpos.Offset = 20
-	// catchUpTime bounds the wait for a replica to come close.
-	catchUpTime = 2500 * time.Millisecond
-	// drainTime bounds the wait, after the step down, for a replica to hold
-	// the whole log.
-	drainTime = 1500 * time.Millisecond
-	catchPoll = 30 * time.Millisecond
+	// maxHandoverLag is how many entries a replica may lag behind when the
+	// primary is told to step down.
+	maxHandoverLag logpos.Offset = 20
+	// catchUpTimeout bounds the wait for a replica to come within maxHandoverLag.
+	catchUpTimeout = 2500 * time.Millisecond
+	// fullLogTimeout bounds the wait, after the primary has stepped down, for a
+	// replica to receive the complete log.
+	fullLogTimeout      = 1500 * time.Millisecond
+	catchUpPollInterval = 30 * time.Millisecond
 )
 
-// handoverDue reports whether the primary leaves and another member stays.
+// handoverDue reports whether the primary is being drained and another member can
+// take over.
 func (p *Promoter) handoverDue() bool {
 	id, found := p.set.Believed()
 	if !found {
@@ -225,8 +227,8 @@
 	return false
 }
 
-// handOver moves the lead from a primary that leaves to a replica that holds
-// its whole log, so that nothing is rolled back.
+// handOver promotes a replica that has the complete log of a draining primary, so
+// that no entry is lost.
 func (p *Promoter) handOver(ctx context.Context, token uint64) error {
 	id, found := p.set.Believed()
 	if !found {
@@ -236,54 +238,56 @@
 	if !known {
 		return errRecovered
 	}
-	p.awaitClose(ctx, old)
+	p.awaitCatchUp(ctx, old)
 	st, err := p.set.Order(ctx, old, statement.Operation{Verb: statement.StepDown, Term: p.set.Term() + 1})
 	if err != nil {
 		return err
 	}
-	chosen, whole := p.awaitWhole(ctx, id, st.Received)
-	if !whole {
-		// Nobody holds the whole log: the old primary leads on, and a later
-		// attempt may find a replica that has caught up.
+	chosen, complete := p.awaitFullLog(ctx, id, st.Received)
+	if !complete {
+		// The old primary stays primary if no replica has the complete log; a
+		// later attempt may find one that has caught up.
 		chosen = succession.Report{ID: id, Status: st}
 	}
 	return p.promote(ctx, chosen, token)
 }
 
-// awaitClose waits until some staying replica is close behind the primary.
-func (p *Promoter) awaitClose(ctx context.Context, old *replicaset.Member) {
-	until := clock.Now() + catchUpTime
-	for clock.Now() < until && ctx.Err() == nil {
-		lead, err := p.set.Status(ctx, old)
+// awaitCatchUp waits until a remaining replica is within maxHandoverLag of the
+// primary.
+func (p *Promoter) awaitCatchUp(ctx context.Context, old *replicaset.Member) {
+	deadline := clock.Now() + catchUpTimeout
+	for clock.Now() < deadline && ctx.Err() == nil {
+		status, err := p.set.Status(ctx, old)
 		if err == nil {
-			for _, r := range p.staying(ctx, old.ID()) {
-				if r.Status.Received.Offset+closeEnough >= lead.Received.Offset {
+			for _, r := range p.remainingReplicas(ctx, old.ID()) {
+				if r.Status.Received.Offset+maxHandoverLag >= status.Received.Offset {
 					return
 				}
 			}
 		}
-		time.Sleep(catchPoll)
+		time.Sleep(catchUpPollInterval)
 	}
 }
 
-// awaitWhole waits until some staying replica holds the log up to the end.
-func (p *Promoter) awaitWhole(ctx context.Context, old string, end logpos.Position) (succession.Report, bool) {
-	until := clock.Now() + drainTime
-	for clock.Now() < until && ctx.Err() == nil {
-		for _, r := range p.staying(ctx, old) {
+// awaitFullLog waits until a remaining replica has received the log up to its
+// end.
+func (p *Promoter) awaitFullLog(ctx context.Context, old string, end logpos.Position) (succession.Report, bool) {
+	deadline := clock.Now() + fullLogTimeout
+	for clock.Now() < deadline && ctx.Err() == nil {
+		for _, r := range p.remainingReplicas(ctx, old) {
 			if r.Status.Received.Compare(end) >= 0 {
 				return r, true
 			}
 		}
-		time.Sleep(catchPoll)
+		time.Sleep(catchUpPollInterval)
 	}
 	return succession.Report{}, false
 }
 
-// staying asks the replicas that do not leave for their status.
-func (p *Promoter) staying(ctx context.Context, old string) []succession.Report {
+// remainingReplicas returns the status of the replicas that are not draining.
+func (p *Promoter) remainingReplicas(ctx context.Context, old string) []succession.Report {
 	var out []succession.Report
-	for _, r := range p.askReplicas(ctx, old, always(statement.Operation{Verb: statement.ReportStatus})) {
+	for _, r := range p.orderReplicas(ctx, old, sameOrder(statement.Operation{Verb: statement.ReportStatus})) {
 		if !r.Leaving {
 			out = append(out, r)
 		}
--- a/node/promoter/result.go
+++ b/node/promoter/result.go
@@ -1,13 +1,12 @@
 package promoter
 
-// Result says how a promotion that this host led has ended.
+// Result is the outcome of a promotion that this host led.
 type Result uint8
 
-// The results.
 const (
-	// Succeeded means that the chosen member leads.
+	// Succeeded means that the chosen member is primary.
 	Succeeded Result = iota
-	// Failed means that no member was promoted; it is tried again.
+	// Failed means that no member was promoted; the promotion is retried.
 	Failed
 	// Fenced means that the platform has seen a newer token: another host leads a
 	// promotion.
@@ -22,7 +21,7 @@
 	switch {
 	case err == nil:
 		return Succeeded
-	case refused(err):
+	case tokenRefused(err):
 		return Fenced
 	}
 	return Failed
--- /dev/null
+++ b/node/promoter/store_sync.go
@@ -0,0 +1,150 @@
+package promoter
+
+import (
+	"context"
+	"time"
+
+	"github.com/dotterelswitch/dotterelswitch/core/store"
+	"github.com/dotterelswitch/dotterelswitch/core/succession"
+	"github.com/dotterelswitch/dotterelswitch/node/clock"
+	"github.com/dotterelswitch/dotterelswitch/node/eventlog"
+)
+
+const (
+	// reportDelay is how long this host must consider the primary dead before it
+	// reports that in the store. Hosts that reach each other agree directly
+	// within this time, which saves one store write for each host.
+	reportDelay = 300 * time.Millisecond
+	// vacantLockDelay is how long a lock must be without a holder before a host
+	// takes it. When a fleet starts, each host knows only itself at first and
+	// would take every lock.
+	vacantLockDelay = time.Second
+)
+
+// storeSync is the state of the loop that writes to the store. The loop is
+// separate from the one that leads promotions, which must not block on an
+// unresponsive store.
+type storeSync struct {
+	// reported is the primary that this host has reported as dead, in the store
+	// epoch reportedEpoch. Reports of earlier epochs are void.
+	reported      string
+	reportedEpoch store.Epoch
+	// vacantSince is when this host first became the one to take a vacant lock.
+	vacantSince time.Duration
+}
+
+// runStoreSync synchronizes with the store whenever Tick finds a difference,
+// until the context ends.
+func (p *Promoter) runStoreSync(ctx context.Context) {
+	for {
+		select {
+		case <-p.storeWake:
+			p.storeMu.Lock()
+			p.syncStore(ctx)
+			p.storeMu.Unlock()
+		case <-ctx.Done():
+			return
+		}
+	}
+}
+
+// storeSyncDue reports whether syncStore has work to do. It is called with
+// storeMu held.
+func (p *Promoter) storeSyncDue(now time.Duration) bool {
+	if p.registry.Away() {
+		return false
+	}
+	return p.primaryToReport(now) != p.reportedPrimary() || p.shouldTakeLock(p.registry.LockOf(p.service), now)
+}
+
+// primaryToReport returns the primary that should be reported as dead in the
+// store; empty for none.
+func (p *Promoter) primaryToReport(now time.Duration) string {
+	p.mu.Lock()
+	lost, since := p.lostPrimary, p.lostSince
+	p.mu.Unlock()
+	if lost != "" && (now-since < reportDelay || !p.mayReport(lost)) {
+		return p.reportedPrimary()
+	}
+	return lost
+}
+
+// reportedPrimary returns the primary that this host has reported as dead in the
+// current epoch. It is called with storeMu held.
+func (p *Promoter) reportedPrimary() string {
+	if p.storeSync.reported == "" || p.storeSync.reportedEpoch != p.registry.Epoch() {
+		return ""
+	}
+	return p.storeSync.reported
+}
+
+// shouldTakeLock reports whether this host should take the lock outside a
+// promotion.
+func (p *Promoter) shouldTakeLock(lock succession.Lock, now time.Duration) bool {
+	p.mu.Lock()
+	backingOff := now < p.backoffUntil
+	p.mu.Unlock()
+	return !backingOff && !p.leading.Load() && p.vacantLockDue(lock, now)
+}
+
+// syncStore updates this host's report on the primary and takes a vacant lock if
+// this host is the one to do so. It is called with storeMu held.
+func (p *Promoter) syncStore(ctx context.Context) {
+	if p.registry.Away() {
+		return
+	}
+	now := clock.Now()
+	if lost := p.primaryToReport(now); lost != p.reportedPrimary() {
+		p.report(ctx, lost)
+	}
+	lock := p.registry.LockOf(p.service)
+	if p.shouldTakeLock(lock, now) {
+		if _, err := p.takeLock(ctx, lock); err != nil {
+			p.backOff(attemptBackoff)
+		}
+	}
+}
+
+// mayReport reports whether this host may report the primary: it is a voter, or
+// nobody has reported yet. The first report makes voters without traffic probe
+// the primary.
+func (p *Promoter) mayReport(lost string) bool {
+	return p.set.Votes() || len(p.registry.Suspecting(p.service, lost)) == 0
+}
+
+func (p *Promoter) report(ctx context.Context, lost string) {
+	epoch := p.registry.Epoch()
+	if reported := p.reportedPrimary(); reported != "" {
+		if err := p.registry.Trust(ctx, p.service, reported); err != nil {
+			eventlog.OrderFailed.Warn(p.log).Err(err).Str("order", "take a report back").Send()
+			return
+		}
+		p.storeSync.reported = ""
+	}
+	if lost == "" {
+		return
+	}
+	if err := p.registry.Suspect(ctx, p.service, lost); err != nil {
+		eventlog.OrderFailed.Warn(p.log).Err(err).Str("order", "report a dead primary").Send()
+		return
+	}
+	eventlog.PrimaryReported.Info(p.log).Str("upstream", lost).Send()
+	p.storeSync.reported, p.storeSync.reportedEpoch = lost, epoch
+}
+
+// vacantLockDue reports whether this host should take a lock that has no holder,
+// or renew its own lock whose token it does not know, because it restarted or the
+// store's answer was lost.
+func (p *Promoter) vacantLockDue(lock succession.Lock, now time.Duration) bool {
+	p.mu.Lock()
+	stale := lock.Holder == p.host && lock.Token() != p.newestToken
+	p.mu.Unlock()
+	if !stale && (lock.Holder != "" || p.takeoverRank("") > 0) {
+		p.storeSync.vacantSince = 0
+		return false
+	}
+	if p.storeSync.vacantSince == 0 {
+		p.storeSync.vacantSince = now
+	}
+	return now-p.storeSync.vacantSince >= vacantLockDelay
+}
--- a/node/promoter/keep_store_test.go
+++ b/node/promoter/store_sync_test.go
@@ -13,22 +13,22 @@
 	"github.com/dotterelswitch/dotterelswitch/node/replicaset"
 )
 
-// TestReportIsWrittenAgainAfterARestore: nobody heeds the one that the store's copy
-// holds, or it does not hold any.
-func TestReportIsWrittenAgainAfterARestore(t *testing.T) {
+// Reports of an earlier store epoch are void, so that a restored store needs a
+// new one.
+func TestReportIsRepeatedAfterRestore(t *testing.T) {
 	set := replicaset.New(replicaset.Config{Service: "svc", Host: "h0", Log: zerolog.Nop()})
 	set.Update(nil, catalog.Service{}, gates.NewFleet([]gates.Host{{Name: "h0", Zone: "z"}}, nil))
 	registry := reportingRegistry{hosts: []string{"h0"}, holder: "other", epoch: 1}
 	p := New(Config{Service: "svc", Host: "h0", Set: set, Registry: registry, Log: zerolog.Nop()})
 	now := clock.Now()
-	p.lost, p.lostSince = "m", now-time.Minute
-	require.True(t, p.storeDue(now))
-	p.keepStore(t.Context())
-	require.Equal(t, "m", p.reported())
-	require.False(t, p.storeDue(now))
+	p.lostPrimary, p.lostSince = "m", now-time.Minute
+	require.True(t, p.storeSyncDue(now))
+	p.syncStore(t.Context())
+	require.Equal(t, "m", p.reportedPrimary())
+	require.False(t, p.storeSyncDue(now))
 	registry.epoch = 2
 	p.registry = registry
-	require.True(t, p.storeDue(now))
-	p.keepStore(t.Context())
-	require.False(t, p.storeDue(now))
+	require.True(t, p.storeSyncDue(now))
+	p.syncStore(t.Context())
+	require.False(t, p.storeSyncDue(now))
 }
