--- a/node/entry/peers.go
+++ b/node/entry/peers.go
@@ -72,8 +72,8 @@
 // Configuration implements peer.GateHandler.
 func (h *Host) Configuration(above uint64) []byte { return h.registry.ConfigDocument(above) }
 
-// Tell implements peer.GateHandler.
-func (h *Host) Tell(ctx context.Context, after store.Revision, send func(registry.News) error) error {
+// StreamChanges implements peer.GateHandler.
+func (h *Host) StreamChanges(ctx context.Context, after store.Revision, send func(registry.News) error) error {
 	return h.registry.Tell(ctx, after, send)
 }
 
--- a/node/host/host.go
+++ b/node/host/host.go
@@ -102,8 +102,8 @@
 	h.metrics = metrics.New(s.MaxTeamsShown)
 	h.owner = owner.New(owner.Config{
 		Host: self, User: s.UpstreamUser, Password: s.UpstreamPassword, Dial: opts.Dial,
-		ControlDial: upstream.DialFunc(h.bytes.control.Wrap(opts.Dial)), Pace: group.DefaultHeartbeatBudget(),
-		AnswerLimit: s.MaxAnswer, Timing: group.DefaultTiming(), DrainFor: s.DrainTimeout, Log: h.log,
+		ControlDial: upstream.DialFunc(h.bytes.control.Wrap(opts.Dial)), HeartbeatBudget: group.DefaultHeartbeatBudget(),
+		AnswerLimit: s.MaxAnswer, Timing: group.DefaultTiming(), DrainTimeout: s.DrainTimeout, Log: h.log,
 	})
 	h.router = router.New(self, owner.SenderName(self), h.fleet, h.owner, h.peers, h.log)
 	if err := h.listen(); err != nil {
@@ -205,7 +205,7 @@
 		now[owner.SenderName(x)] = true
 		if !h.failed[owner.SenderName(x)] {
 			eventlog.HostStateChanged.Warn(h.log).Str("peer", x.ID).Stringer("state", x.State).Send()
-			h.peers.Fail(x.Peer)
+			h.peers.CancelCalls(x.Peer)
 		}
 	}
 	h.failed = now
--- a/node/owner/assignment.go
+++ b/node/owner/assignment.go
@@ -13,8 +13,8 @@
 	upstream conf.Upstream
 }
 
-// assignments returns the upstreams that a host owns. Hashing is done for the
-// members of the host's own zone only, and for those of zones without hosts.
+// assignments returns the upstreams whose pools a host owns: those of its own
+// zone that hash to it, and those of zones without hosts.
 func assignments(cfg *conf.Config, placement *membership.Placement, self membership.Host) []assignment {
 	var out []assignment
 	for _, s := range cfg.Services {
--- a/node/owner/assignment_test.go
+++ b/node/owner/assignment_test.go
@@ -10,7 +10,8 @@
 	"github.com/dotterelswitch/dotterelswitch/core/membership"
 )
 
-// largeFleet returns n services of three members over the zones, and hosts.
+// largeFleet returns a configuration with three members for each service, spread
+// over the zones, and the hosts.
 func largeFleet(services, hosts, zones int) (*conf.Config, *membership.Placement, []membership.Host) {
 	zone := func(i int) string { return fmt.Sprintf("zone-%02d", i%zones) }
 	cfg := &conf.Config{}
@@ -28,19 +29,18 @@
 	return cfg, membership.NewPlacement(list), list
 }
 
-// TestEveryUpstreamHasOneOwner checks the assignment over a whole fleet, with
-// a zone that has no hosts.
+// Includes members of a zone without hosts.
 func TestEveryUpstreamHasOneOwner(t *testing.T) {
 	cfg, _, hosts := largeFleet(200, 24, 6)
-	var left []membership.Host
+	var remaining []membership.Host
 	for _, h := range hosts {
 		if h.Zone != "zone-03" {
-			left = append(left, h)
+			remaining = append(remaining, h)
 		}
 	}
-	placement := membership.NewPlacement(left)
+	placement := membership.NewPlacement(remaining)
 	owned := map[string]int{}
-	for _, h := range left {
+	for _, h := range remaining {
 		for _, a := range assignments(cfg, placement, h) {
 			owned[a.upstream.Name]++
 		}
@@ -51,7 +51,7 @@
 	}
 }
 
-// BenchmarkAssignments measures one reconciliation.
+// BenchmarkAssignments measures the hashing of one reconciliation.
 func BenchmarkAssignments(b *testing.B) {
 	for _, size := range []struct{ services, hosts int }{{1000, 185}, {9000, 1667}, {27000, 5000}} {
 		b.Run(fmt.Sprintf("%d-services-%d-hosts", size.services, size.hosts), func(b *testing.B) {
--- a/node/owner/continue.go
+++ b/node/owner/continue.go
@@ -17,45 +17,46 @@
 		return request.Refused(outcome.Refuse(outcome.TransactionLost, "upstream %s", req.Upstream))
 	}
 	arrived := time.Now()
-	if refusal := p.enter(ctx, req.Team, o.weight(req.Team), req.Deadline); refusal != nil {
-		o.drop(tx)
+	if refusal := p.acquireSlot(ctx, req.Team, o.weight(req.Team), req.Deadline); refusal != nil {
+		o.abort(tx)
 		return request.Refused(outcome.Refuse(outcome.TransactionLost, "%s", refusal.Error()))
 	}
 	started := time.Now()
 	answer, err := tx.conn.Run(ctx, req.Frames)
 	took := time.Since(started)
-	p.leave(took)
+	p.releaseSlot(took)
 	if err != nil {
 		p.watcher.Suspect()
-		o.drop(tx)
-		return request.Refused(lostRefusal(err, req.MayCommit))
+		o.abort(tx)
+		return request.Refused(lostConnRefusal(err, req.MayCommit))
 	}
 	resp := &request.Response{
 		Frames: answer.Frames, TxStatus: answer.TxStatus, Position: answer.Position,
 		Queue: started.Sub(arrived), Service: took,
 	}
 	if answer.TxStatus != 'I' {
-		o.txns.settle(tx, true)
+		o.txns.endStatement(tx, true)
 		resp.Transaction = tx.id
 		return resp
 	}
-	o.txns.settle(tx, false)
-	p.put(tx.conn)
-	defer p.finish()
-	return o.settleEnd(ctx, p, req, resp, answer)
+	o.txns.endStatement(tx, false)
+	p.releaseConn(tx.conn)
+	defer p.endRequest()
+	return o.confirmCommit(ctx, p, req, resp, answer)
 }
 
-// lostRefusal tells what became of a transaction whose connection failed. Only
-// a statement that may commit leaves the outcome open.
-func lostRefusal(err error, mayCommit bool) *outcome.Refusal {
+// lostConnRefusal returns the outcome of a transaction whose connection failed.
+// The outcome is unknown only if the failed statement may have committed.
+func lostConnRefusal(err error, mayCommit bool) *outcome.Refusal {
 	if mayCommit {
 		return outcome.Refuse(outcome.UnknownOutcome, "%v", err)
 	}
 	return outcome.Refuse(outcome.TransactionLost, "%v", err)
 }
 
-// settleEnd holds the answer to a COMMIT like that of any write.
-func (o *Owner) settleEnd(ctx context.Context, p *pool, req *request.Request, resp *request.Response, answer upstream.Answer) *request.Response {
+// confirmCommit delays the answer to a COMMIT until the write is confirmed, like
+// that of any write.
+func (o *Owner) confirmCommit(ctx context.Context, p *pool, req *request.Request, resp *request.Response, answer upstream.Answer) *request.Response {
 	if answer.ErrorCode == sqlStateReadOnly {
 		p.watcher.Suspect()
 		return request.Refused(outcome.Refuse(outcome.TransactionLost, "upstream %s was superseded", p.spec.Name))
@@ -63,33 +64,33 @@
 	if !req.MayCommit {
 		return resp
 	}
-	need := group.ReadRequirement{ArrivedAt: p.watcher.Now()}
-	return o.settle(ctx, p, req, need, resp, answer)
+	requirement := group.ReadRequirement{ArrivedAt: p.watcher.Now()}
+	return o.confirmResponse(ctx, p, req, requirement, resp, answer)
 }
 
-// drop closes a transaction's connection, which rolls it back.
-func (o *Owner) drop(tx *transaction) {
-	o.txns.settle(tx, false)
+// abort closes a transaction's connection, which rolls the transaction back.
+func (o *Owner) abort(tx *transaction) {
+	o.txns.endStatement(tx, false)
 	tx.conn.Close()
-	tx.pool.forget()
-	tx.pool.finish()
+	tx.pool.connClosed()
+	tx.pool.endRequest()
 }
 
-// Release ends a transaction whose caller is gone.
+// Release aborts a transaction whose caller has disconnected.
 func (o *Owner) Release(sender string, id uint64) {
-	o.dropIf(func(tx *transaction) bool { return tx.id == id && tx.sender == sender })
+	o.abortIf(func(tx *transaction) bool { return tx.id == id && tx.sender == sender })
 }
 
-// forgetSender ends all transactions of a host that died.
-func (o *Owner) forgetSender(sender string) {
-	o.seen.forget(sender)
-	o.dropIf(func(tx *transaction) bool { return tx.sender == sender })
+// abortSender aborts all transactions of a dead host.
+func (o *Owner) abortSender(sender string) {
+	o.recent.removeSender(sender)
+	o.abortIf(func(tx *transaction) bool { return tx.sender == sender })
 }
 
-func (o *Owner) dropIf(match func(*transaction) bool) {
-	for _, tx := range o.txns.takeIf(match) {
+func (o *Owner) abortIf(match func(*transaction) bool) {
+	for _, tx := range o.txns.removeIf(match) {
 		tx.conn.Close()
-		tx.pool.forget()
-		tx.pool.finish()
+		tx.pool.connClosed()
+		tx.pool.endRequest()
 	}
 }
--- a/node/owner/execute.go
+++ b/node/owner/execute.go
@@ -13,14 +13,14 @@
 	"github.com/dotterelswitch/dotterelswitch/node/watch"
 )
 
-// sqlStateReadOnly is what a member answers to a write that it may not run.
+// sqlStateReadOnly is a member's answer to a write while it is not primary.
 const sqlStateReadOnly = "25006"
 
 // Execute runs one request on a member whose pool this host owns.
 func (o *Owner) Execute(ctx context.Context, req *request.Request) *request.Response {
 	ctx, cancel := context.WithDeadline(ctx, req.Deadline)
 	defer cancel()
-	defer o.runs.add(req.Sender, req.ID, cancel)()
+	defer o.running.add(req.Sender, req.ID, cancel)()
 	resp := o.execute(ctx, req)
 	if resp.Refusal != nil || resp.Hint.Primary == "" {
 		resp.Hint = o.hint(req.Service)
@@ -29,7 +29,7 @@
 }
 
 func (o *Owner) execute(ctx context.Context, req *request.Request) *request.Response {
-	if !o.seen.add(req.Sender, req.ID) {
+	if !o.recent.add(req.Sender, req.ID) {
 		return request.Refused(outcome.Refuse(outcome.UnknownOutcome, "the request was delivered twice"))
 	}
 	p, refusal := o.pool(ctx, req.Service, req.Upstream)
@@ -39,49 +39,50 @@
 	if req.Transaction != 0 {
 		return o.continueTransaction(ctx, p, req)
 	}
-	if !p.begin() {
+	if !p.beginRequest() {
 		return request.Refused(outcome.Refuse(outcome.Draining, "the pool of %s is being handed over", req.Upstream))
 	}
-	need := group.ReadRequirement{Token: req.Token, Staleness: req.Staleness, ArrivedAt: p.watcher.Now()}
-	if refusal := o.eligible(ctx, p, req, need); refusal != nil {
-		p.finish()
+	requirement := group.ReadRequirement{Token: req.Token, Staleness: req.Staleness, ArrivedAt: p.watcher.Now()}
+	if refusal := o.eligible(ctx, p, req, requirement); refusal != nil {
+		p.endRequest()
 		return request.Refused(refusal)
 	}
-	resp := o.runNew(ctx, p, req, need)
+	resp := o.runNew(ctx, p, req, requirement)
 	if resp.Transaction == 0 {
-		p.finish()
+		p.endRequest()
 	}
 	return resp
 }
 
-// eligible checks the member's role for a write, and its position for a read.
-func (o *Owner) eligible(ctx context.Context, p *pool, req *request.Request, need group.ReadRequirement) *outcome.Refusal {
-	if o.leaving(p.spec.Name) {
+// eligible checks the member's role for a write and its replication position for
+// a read.
+func (o *Owner) eligible(ctx context.Context, p *pool, req *request.Request, requirement group.ReadRequirement) *outcome.Refusal {
+	if o.draining(p.spec.Name) {
 		return outcome.Refuse(outcome.Draining, "upstream %s is leaving", p.spec.Name)
 	}
 	if req.Write {
-		return o.primaryNow(p)
+		return o.requirePrimary(p)
 	}
 	verdict, primary := group.Unknown, false
-	judge := func(v *group.View, _ time.Duration) bool {
-		verdict = v.CanRead(p.spec.Name, need)
+	evaluate := func(v *group.View, _ time.Duration) bool {
+		verdict = v.CanRead(p.spec.Name, requirement)
 		st, found := v.Primary()
 		primary = found && st.Member == p.spec.Name && !v.Failing(st.Member)
 		return verdict == group.Eligible || verdict == group.Ahead || (primary && verdict != group.Unknown)
 	}
-	bounded, cancel := context.WithTimeout(ctx, req.Wait)
+	waitCtx, cancel := context.WithTimeout(ctx, req.Wait)
 	defer cancel()
-	p.watcher.Inspect(func(v *group.View, now time.Duration) { judge(v, now) })
+	p.watcher.Inspect(func(v *group.View, now time.Duration) { evaluate(v, now) })
 	if verdict != group.Eligible && !primary {
-		_ = p.watcher.Await(bounded, watch.ForFreshness, judge)
+		_ = p.watcher.Await(waitCtx, watch.ForFreshness, evaluate)
 	}
 	if primary && verdict != group.Ahead {
 		return nil
 	}
-	return verdictRefusal(verdict, p.spec.Name)
+	return readRefusal(verdict, p.spec.Name)
 }
 
-func verdictRefusal(v group.ReadVerdict, member string) *outcome.Refusal {
+func readRefusal(v group.ReadVerdict, member string) *outcome.Refusal {
 	switch v {
 	case group.Eligible:
 		return nil
@@ -96,8 +97,8 @@
 	}
 }
 
-// primaryNow refuses a write on a member that is not the primary.
-func (o *Owner) primaryNow(p *pool) *outcome.Refusal {
+// requirePrimary refuses a write on a member that is not the primary.
+func (o *Owner) requirePrimary(p *pool) *outcome.Refusal {
 	isPrimary := false
 	p.watcher.Inspect(func(v *group.View, _ time.Duration) {
 		st, found := v.CurrentPrimary()
@@ -109,25 +110,25 @@
 	return nil
 }
 
-// runNew takes a slot and a connection for a request outside a transaction.
-func (o *Owner) runNew(ctx context.Context, p *pool, req *request.Request, need group.ReadRequirement) *request.Response {
+// runNew acquires a slot and a connection for a request outside a transaction.
+func (o *Owner) runNew(ctx context.Context, p *pool, req *request.Request, requirement group.ReadRequirement) *request.Response {
 	arrived := time.Now()
-	if refusal := p.enter(ctx, req.Team, o.weight(req.Team), req.Deadline); refusal != nil {
+	if refusal := p.acquireSlot(ctx, req.Team, o.weight(req.Team), req.Deadline); refusal != nil {
 		return request.Refused(refusal)
 	}
-	if req.MayCommit && p.stalled() {
-		p.leave(0)
-		return request.Refused(outcome.Refuse(outcome.ReplicationStalled, "upstream %s", p.spec.Name).WithRetryAfter(stallPause))
+	if req.MayCommit && p.replicationStalled() {
+		p.releaseSlot(0)
+		return request.Refused(outcome.Refuse(outcome.ReplicationStalled, "upstream %s", p.spec.Name).WithRetryAfter(stallRetryAfter))
 	}
 	started := time.Now()
-	conn, refusal := p.take(ctx)
+	conn, refusal := p.acquireConn(ctx)
 	if refusal != nil {
-		p.leave(0)
+		p.releaseSlot(0)
 		return request.Refused(refusal)
 	}
 	answer, resp := o.send(ctx, p, conn, req)
 	took := time.Since(started)
-	p.leave(took)
+	p.releaseSlot(took)
 	if resp == nil {
 		resp = &request.Response{Frames: answer.Frames, TxStatus: answer.TxStatus, Position: answer.Position}
 	}
@@ -136,12 +137,13 @@
 		resp.Transaction = o.txns.add(req.Sender, p, conn)
 		return resp
 	}
-	p.put(conn)
-	return o.settle(ctx, p, req, need, resp, answer)
+	p.releaseConn(conn)
+	return o.confirmResponse(ctx, p, req, requirement, resp, answer)
 }
 
-// send runs the request on a connection; a keyed one goes through the ledger.
-// The response is set when the answer cannot be given as it is.
+// send runs the request on a connection; a request with an idempotency key goes
+// through the ledger. The response is non-nil if the answer must not be passed on
+// unchanged.
 func (o *Owner) send(ctx context.Context, p *pool, conn *upstream.Conn, req *request.Request) (upstream.Answer, *request.Response) {
 	if req.Key != "" {
 		return o.sendKeyed(ctx, conn, req)
@@ -154,8 +156,8 @@
 	return answer, nil
 }
 
-// runRefusal tells what is known of a request whose answer is missing. A read
-// has no effect, so it counts as not run and may go elsewhere.
+// runRefusal returns the outcome of a request without an answer. A read has no
+// effect, so it counts as not run and may be retried elsewhere.
 func runRefusal(err error, mayCommit bool) *outcome.Refusal {
 	var tooLarge *upstream.TooLargeError
 	if errors.As(err, &tooLarge) && !mayCommit {
@@ -171,9 +173,10 @@
 	return outcome.Refuse(outcome.WrongMember, "%v", err)
 }
 
-// settle holds an answer until it is safe to give: a write until a majority
-// holds it, a read on the primary until it is known to be current.
-func (o *Owner) settle(ctx context.Context, p *pool, req *request.Request, need group.ReadRequirement, resp *request.Response, answer upstream.Answer) *request.Response {
+// confirmResponse delays an answer until it is safe to return: a write until a
+// majority has it, a read from the primary until the primary is known to be
+// current.
+func (o *Owner) confirmResponse(ctx context.Context, p *pool, req *request.Request, requirement group.ReadRequirement, resp *request.Response, answer upstream.Answer) *request.Response {
 	if resp.Refusal != nil {
 		return resp
 	}
@@ -182,24 +185,24 @@
 		return request.Refused(outcome.Refuse(outcome.WrongMember, "upstream %s accepts no writes", p.spec.Name))
 	}
 	if answer.Position.IsZero() {
-		// Nothing was read or committed: a description, or an error.
+		// Nothing was read or committed, as for a Describe or an error.
 		return resp
 	}
 	resp.ForkCrossed = o.forkCrossed(p, req.Token)
 	if req.MayCommit {
-		resp = o.confirm(ctx, p, resp, answer)
+		resp = o.confirmWrite(ctx, p, resp, answer)
 	} else {
-		resp = o.confirmRead(ctx, p, need, resp)
+		resp = o.confirmRead(ctx, p, requirement, resp)
 	}
-	if resp.Refusal == nil && !req.MayCommit && o.aheadOf(p, req.Token, resp.Position) {
+	if resp.Refusal == nil && !req.MayCommit && o.tokenAhead(p, req.Token, resp.Position) {
 		return request.Refused(outcome.Refuse(outcome.TokenAhead, ""))
 	}
 	return resp
 }
 
-// aheadOf reports whether a token is past a position that was current after
-// the request came, so that it names an entry that never existed.
-func (o *Owner) aheadOf(p *pool, token, current logpos.Position) bool {
+// tokenAhead reports whether a token exceeds a position that was current after
+// the request arrived, which means that it names an entry that never existed.
+func (o *Owner) tokenAhead(p *pool, token, current logpos.Position) bool {
 	ahead := false
 	p.watcher.Inspect(func(v *group.View, _ time.Duration) {
 		st, found := v.Primary()
@@ -212,6 +215,8 @@
 	return ahead
 }
 
+// forkCrossed reports whether the session has seen entries that a change of
+// primary discarded.
 func (o *Owner) forkCrossed(p *pool, token logpos.Position) bool {
 	crossed := false
 	p.watcher.Inspect(func(v *group.View, _ time.Duration) {
@@ -222,47 +227,48 @@
 	return crossed && !token.IsZero()
 }
 
-// stallPause is when a write that replication holds off should come back.
-const stallPause = 200 * time.Millisecond
+// stallRetryAfter is the retry delay of a write that is refused because
+// replication is stalled.
+const stallRetryAfter = 200 * time.Millisecond
 
-// confirm waits until the write's entry is safe. A failed statement changed
-// nothing and needs no wait, unless a transaction before it committed.
-func (o *Owner) confirm(ctx context.Context, p *pool, resp *request.Response, answer upstream.Answer) *request.Response {
+// confirmWrite waits until a majority has the write. A failed statement has a
+// position only if an earlier transaction of the request committed.
+func (o *Owner) confirmWrite(ctx context.Context, p *pool, resp *request.Response, answer upstream.Answer) *request.Response {
 	p.unconfirmed.Add(1)
 	defer p.unconfirmed.Add(-1)
-	landing := group.Pending
+	state := group.Pending
 	err := p.watcher.Await(ctx, watch.ForConfirmation, func(v *group.View, _ time.Duration) bool {
-		landing = v.EntryState(answer.Position)
-		return landing != group.Pending
+		state = v.EntryState(answer.Position)
+		return state != group.Pending
 	})
-	if err != nil || landing != group.Committed {
+	if err != nil || state != group.Committed {
 		p.watcher.Suspect()
 		return request.Refused(outcome.Refuse(outcome.UnknownOutcome, "no majority of the group confirmed the write at %s", answer.Position))
 	}
 	return resp
 }
 
-// confirmRead checks a read's answer against what the session needs.
-func (o *Owner) confirmRead(ctx context.Context, p *pool, need group.ReadRequirement, resp *request.Response) *request.Response {
-	verdict, landing, onPrimary := group.Unknown, group.Pending, false
-	judge := func(v *group.View, _ time.Duration) bool {
+// confirmRead checks a read's answer against the session's requirements.
+func (o *Owner) confirmRead(ctx context.Context, p *pool, requirement group.ReadRequirement, resp *request.Response) *request.Response {
+	verdict, state, onPrimary := group.Unknown, group.Pending, false
+	evaluate := func(v *group.View, _ time.Duration) bool {
 		st, found := v.Primary()
 		onPrimary = found && st.Member == p.spec.Name
 		if onPrimary {
-			landing = v.CheckPrimaryRead(resp.Position, need)
-			return landing != group.Pending
+			state = v.CheckPrimaryRead(resp.Position, requirement)
+			return state != group.Pending
 		}
-		verdict = v.CanServe(resp.Position, need)
+		verdict = v.CanServe(resp.Position, requirement)
 		return true
 	}
-	if err := p.watcher.Await(ctx, watch.ForFreshness, judge); err != nil {
+	if err := p.watcher.Await(ctx, watch.ForFreshness, evaluate); err != nil {
 		return request.Refused(outcome.Refuse(outcome.TooStale, "upstream %s could not show that it is current", p.spec.Name))
 	}
-	if onPrimary && landing != group.Committed {
+	if onPrimary && state != group.Committed {
 		return request.Refused(outcome.Refuse(outcome.WrongMember, "upstream %s was superseded", p.spec.Name))
 	}
 	if !onPrimary && verdict != group.Eligible {
-		return request.Refused(verdictRefusal(verdict, p.spec.Name))
+		return request.Refused(readRefusal(verdict, p.spec.Name))
 	}
 	return resp
 }
--- a/node/owner/keyed.go
+++ b/node/owner/keyed.go
@@ -15,10 +15,11 @@
 	"github.com/dotterelswitch/dotterelswitch/node/upstream"
 )
 
-const sqlStateUnique = "23505"
+const sqlStateUniqueViolation = "23505"
 
-// sendKeyed runs a request in one transaction with its ledger row. When the
-// row exists the request has run, and its first answer is given again.
+// sendKeyed runs a request with an idempotency key and the insert of its ledger
+// row in one transaction. If the row exists, the request has run already and its
+// stored answer is returned.
 func (o *Owner) sendKeyed(ctx context.Context, conn *upstream.Conn, req *request.Request) (upstream.Answer, *request.Response) {
 	key, err := ledger.ParseKey(req.Key)
 	if err != nil {
@@ -35,7 +36,7 @@
 	return answer, nil
 }
 
-// keyedRun is the course of one keyed request on a connection. After an error
+// keyedRun is the execution of one keyed request on a connection. After an error
 // the connection is dirty or in a transaction, and the pool closes it.
 type keyedRun struct {
 	ctx         context.Context
@@ -45,17 +46,17 @@
 }
 
 func (k *keyedRun) run(frames []byte) (upstream.Answer, *outcome.Refusal) {
-	opened, err := k.query(fmt.Sprintf(
+	inserted, err := k.query(fmt.Sprintf(
 		"BEGIN; INSERT INTO dotterelswitch_ledger (key, fingerprint, answer, created) VALUES (%s, %s, '', %s)",
 		upstream.Literal(k.row), upstream.Literal(k.fingerprint), upstream.Literal(ledger.FormatTimestamp(time.Now()))))
 	if err != nil {
-		return opened, runRefusal(err, false)
+		return inserted, runRefusal(err, false)
 	}
-	if opened.ErrorCode == sqlStateUnique {
+	if inserted.ErrorCode == sqlStateUniqueViolation {
 		return k.replay()
 	}
-	if opened.ErrorCode != "" {
-		return k.rollback(opened)
+	if inserted.ErrorCode != "" {
+		return k.rollback(inserted)
 	}
 	answer, err := k.conn.Run(k.ctx, frames)
 	if err != nil {
@@ -71,33 +72,33 @@
 	return k.commit(answer)
 }
 
-// commit stores the answer and ends the transaction. Only here can a lost
-// connection leave the outcome open; a repeat with the same key settles it.
+// commit stores the answer and commits the transaction. Only a connection lost
+// here leaves the outcome unknown; a retry with the same key resolves it.
 func (k *keyedRun) commit(answer upstream.Answer) (upstream.Answer, *outcome.Refusal) {
-	ended, err := k.query(fmt.Sprintf(
+	result, err := k.query(fmt.Sprintf(
 		"UPDATE dotterelswitch_ledger SET answer = %s WHERE key = %s; COMMIT",
 		upstream.Literal(base64.StdEncoding.EncodeToString(answer.Frames)), upstream.Literal(k.row)))
 	if err != nil {
-		return ended, runRefusal(err, true)
+		return result, runRefusal(err, true)
 	}
-	if ended.ErrorCode != "" {
-		return k.rollback(ended)
+	if result.ErrorCode != "" {
+		return k.rollback(result)
 	}
-	answer.TxStatus, answer.Position = ended.TxStatus, ended.Position
+	answer.TxStatus, answer.Position = result.TxStatus, result.Position
 	return answer, nil
 }
 
-// rollback undoes the transaction and gives the error that ended it.
+// rollback rolls the transaction back and returns the error that caused it.
 func (k *keyedRun) rollback(failed upstream.Answer) (upstream.Answer, *outcome.Refusal) {
-	ended, err := k.query("ROLLBACK")
+	result, err := k.query("ROLLBACK")
 	if err != nil {
 		return failed, runRefusal(err, false)
 	}
-	failed.TxStatus, failed.Position = ended.TxStatus, ended.Position
+	failed.TxStatus, failed.Position = result.TxStatus, result.Position
 	return failed, nil
 }
 
-// replay gives the answer of the first run, if the request is the same.
+// replay returns the stored answer if the request is the same.
 func (k *keyedRun) replay() (upstream.Answer, *outcome.Refusal) {
 	if _, refusal := k.rollback(upstream.Answer{}); refusal != nil {
 		return upstream.Answer{}, refusal
@@ -128,7 +129,7 @@
 	return k.conn.Run(k.ctx, frames)
 }
 
-// firstRow returns the values of the first DataRow among messages.
+// firstRow returns the values of the first DataRow among the messages.
 func firstRow(frames []byte) [][]byte {
 	for {
 		message, rest, ok := pgframe.Next(frames)
--- a/node/owner/owner.go
+++ b/node/owner/owner.go
@@ -18,43 +18,44 @@
 	"github.com/dotterelswitch/dotterelswitch/node/upstream"
 )
 
-// Config describes the host to its pools.
+// Config holds an Owner's settings and dependencies.
 type Config struct {
 	Host membership.Host
-	// User and Password log in to members.
+	// User and Password are the credentials for members.
 	User, Password string
 	Dial           upstream.DialFunc
 	// ControlDial opens the control connections.
 	ControlDial upstream.DialFunc
-	// AnswerLimit is the largest answer carried, in bytes.
+	// AnswerLimit is the maximum size of an answer in bytes.
 	AnswerLimit int
 	Timing      group.Timing
-	// Pace spaces heartbeats by the number of members watched.
-	Pace group.HeartbeatBudget
-	// Record is told of promotions.
-	Record func(service string, term logpos.Term, primary string)
-	// DrainFor bounds how long a pool that is handed over waits for what runs.
-	DrainFor time.Duration
-	Log      zerolog.Logger
+	// HeartbeatBudget derives the heartbeat interval from the number of watched
+	// members.
+	HeartbeatBudget group.HeartbeatBudget
+	// RecordPromotion is called after each promotion.
+	RecordPromotion func(service string, term logpos.Term, primary string)
+	// DrainTimeout bounds how long a released pool waits for its requests.
+	DrainTimeout time.Duration
+	Log          zerolog.Logger
 }
 
-// Owner holds the pools of the members that rendezvous hashing gives to this
-// host. Lock order: Owner.mu, then holding.mu, then pool.mu; watch.Watcher has
-// its own lock, which is never held while taking one of these.
+// Owner holds the pools of the members that rendezvous hashing assigns to this
+// host. Lock order: Owner.mu, poolClaim.mu, pool.mu. None of them is acquired
+// while watch.Watcher's lock is held.
 type Owner struct {
-	cfg  Config
-	txns transactions
-	seen *recent
-	runs running
-	ctx  context.Context
-	stop context.CancelFunc
-	wg   sync.WaitGroup
+	cfg     Config
+	txns    transactions
+	recent  *recentRequests
+	running runningRequests
+	ctx     context.Context
+	stop    context.CancelFunc
+	wg      sync.WaitGroup
 
 	mu       sync.Mutex
 	config   *conf.Config
 	dead     []membership.Host
 	groups   map[string]*watchedGroup
-	holdings map[string]*holding
+	claims   map[string]*poolClaim
 	stopping bool
 }
 
@@ -63,15 +64,15 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	return &Owner{
 		cfg: cfg, ctx: ctx, stop: cancel,
-		txns: transactions{open: make(map[uint64]*transaction)},
-		seen: newRecent(), config: &conf.Config{},
-		groups: make(map[string]*watchedGroup), holdings: make(map[string]*holding),
+		txns:   transactions{open: make(map[uint64]*transaction)},
+		recent: newRecentRequests(), config: &conf.Config{},
+		groups: make(map[string]*watchedGroup), claims: make(map[string]*poolClaim),
 	}
 }
 
-// Reconcile takes a configuration and the placement of the hosts that serve,
-// and starts or hands over pools accordingly. Dead lists the hosts whose
-// connections may be ended.
+// Reconcile applies a configuration and a placement of members on the serving
+// hosts: it claims and releases pools accordingly. Dead lists the hosts whose
+// connections may be terminated.
 func (o *Owner) Reconcile(cfg *conf.Config, placement *membership.Placement, dead []membership.Host) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -82,33 +83,34 @@
 	wanted := make(map[string]bool)
 	for _, a := range assignments(cfg, placement, o.cfg.Host) {
 		wanted[a.upstream.Name] = true
-		o.ensureHolding(o.ensureGroup(a.service, ownersOf(a.service, placement)), a.upstream)
+		o.ensureClaim(o.ensureGroup(a.service, ownersOf(a.service, placement)), a.upstream)
 	}
 	o.releaseUnwanted(wanted)
-	o.pace()
+	o.updateHeartbeats()
 	o.handOverPrimaries()
 	for _, h := range dead {
-		o.forgetSender(SenderName(h))
+		o.abortSender(SenderName(h))
 	}
 }
 
-// pace spaces the heartbeats of all groups; it needs mu held.
-func (o *Owner) pace() {
+// updateHeartbeats adapts the heartbeat interval of all groups to the number of
+// members; it needs mu held.
+func (o *Owner) updateHeartbeats() {
 	members := 0
 	for _, g := range o.groups {
 		members += len(g.controls)
 	}
 	timing := o.cfg.Timing
-	timing.Heartbeat = o.cfg.Pace.Interval(members)
+	timing.Heartbeat = o.cfg.HeartbeatBudget.Interval(members)
 	for _, g := range o.groups {
 		g.watcher.SetTiming(timing)
 	}
 }
 
-// SenderName names one incarnation of a host in requests.
+// SenderName identifies one incarnation of a host in requests.
 func SenderName(h membership.Host) string { return fmt.Sprintf("%s/%d", h.ID, h.Incarnation) }
 
-// ensureGroup returns the watched group of a service, starting it if need be;
+// ensureGroup returns the watched group of a service, starting it if necessary;
 // it needs mu held.
 func (o *Owner) ensureGroup(s conf.Service, owners []string) *watchedGroup {
 	rank := slices.Index(owners, o.cfg.Host.ID)
@@ -125,19 +127,19 @@
 	return g
 }
 
-// ensureHolding needs mu held.
-func (o *Owner) ensureHolding(g *watchedGroup, u conf.Upstream) {
-	h, found := o.holdings[u.Name]
-	if found && h.spec == u && h.group == g && !h.releasing() {
+// ensureClaim needs mu held.
+func (o *Owner) ensureClaim(g *watchedGroup, u conf.Upstream) {
+	c, found := o.claims[u.Name]
+	if found && c.spec == u && c.group == g && !c.releasing() {
 		return
 	}
-	var previous *holding
+	var previous *poolClaim
 	if found {
-		h.release()
-		previous = h
+		c.release()
+		previous = c
 	}
-	next := newHolding(o, g, u)
-	o.holdings[u.Name] = next
+	next := newPoolClaim(o, g, u)
+	o.claims[u.Name] = next
 	o.wg.Go(func() {
 		if previous != nil {
 			<-previous.done
@@ -149,15 +151,15 @@
 // releaseUnwanted needs mu held.
 func (o *Owner) releaseUnwanted(wanted map[string]bool) {
 	inUse := make(map[*watchedGroup]bool)
-	for name, h := range o.holdings {
+	for name, c := range o.claims {
 		if !wanted[name] {
-			h.release()
+			c.release()
 		}
-		if h.finished() {
-			delete(o.holdings, name)
+		if c.finished() {
+			delete(o.claims, name)
 			continue
 		}
-		inUse[h.group] = true
+		inUse[c.group] = true
 	}
 	for name, g := range o.groups {
 		if !inUse[g] {
@@ -167,13 +169,13 @@
 	}
 }
 
-// Owned returns the members whose pools this host serves now.
+// Owned returns the members whose pools this host currently serves.
 func (o *Owner) Owned() []string {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	var names []string
-	for name, h := range o.holdings {
-		if h.serving() {
+	for name, c := range o.claims {
+		if c.serving() {
 			names = append(names, name)
 		}
 	}
@@ -181,15 +183,15 @@
 	return names
 }
 
-// pool returns the pool of a member once this host holds it.
+// pool returns the pool of a member once its lock is held.
 func (o *Owner) pool(ctx context.Context, service, member string) (*pool, *outcome.Refusal) {
 	o.mu.Lock()
-	h, found := o.holdings[member]
+	c, found := o.claims[member]
 	o.mu.Unlock()
-	if !found || h.group.spec.Name != service {
+	if !found || c.group.spec.Name != service {
 		return nil, outcome.Refuse(outcome.WrongMember, "host %s does not own the pool of %s", o.cfg.Host.ID, member)
 	}
-	return h.await(ctx)
+	return c.awaitPool(ctx)
 }
 
 func (o *Owner) weight(team string) float64 {
@@ -204,7 +206,7 @@
 	return o.dead
 }
 
-// hint returns what this host knows of a group.
+// hint returns this host's view of a group.
 func (o *Owner) hint(service string) request.Hint {
 	o.mu.Lock()
 	g, found := o.groups[service]
@@ -226,7 +228,7 @@
 	return hint
 }
 
-// Promotions returns how many promotions this host has completed.
+// Promotions returns the number of promotions that this host has completed.
 func (o *Owner) Promotions() int {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -241,23 +243,24 @@
 func (o *Owner) Prepare(ctx context.Context, services []string) {
 	o.mu.Lock()
 	var pools []*pool
-	for _, h := range o.holdings {
-		if slices.Contains(services, h.group.spec.Name) && h.serving() {
-			pools = append(pools, h.pool)
+	for _, c := range o.claims {
+		if slices.Contains(services, c.group.spec.Name) && c.serving() {
+			pools = append(pools, c.pool)
 		}
 	}
 	o.mu.Unlock()
 	for _, p := range pools {
-		p.prepare(ctx)
+		p.warmUp(ctx)
 	}
 }
 
-// Stop hands every pool over and waits for what runs, until the context ends.
+// Stop releases all pools and waits for requests in progress until the context
+// ends.
 func (o *Owner) Stop(ctx context.Context) {
 	o.mu.Lock()
 	o.stopping = true
-	for _, h := range o.holdings {
-		h.release()
+	for _, c := range o.claims {
+		c.release()
 	}
 	o.mu.Unlock()
 	done := make(chan struct{})
--- a/node/owner/pool.go
+++ b/node/owner/pool.go
@@ -1,6 +1,6 @@
 // Package owner runs requests on the upstreams whose pools this host owns: it
-// admits them to slots, lends them connections, and holds their answers until
-// they are safe to give.
+// admits them to slots, assigns them connections, and delays their answers until
+// they are safe to return.
 package owner
 
 import (
@@ -20,30 +20,34 @@
 )
 
 const (
-	// controlReserve is how many of a member's connections are left to the
-	// control connections of the hosts that watch its group.
-	controlReserve = 4
-	// queuePerSlot bounds the requests that wait for one member.
-	queuePerSlot = 64
-	// maxUnconfirmedPerSlot bounds the writes that have run and wait for a
-	// majority. It is what the slots run in about a tenth of a second.
+	// reservedControlConns is how many of a member's connections are reserved for
+	// the control connections of the hosts that watch its group.
+	reservedControlConns = 4
+	// maxQueuedPerSlot bounds the requests that wait for one member.
+	maxQueuedPerSlot = 64
+	// maxUnconfirmedPerSlot bounds the writes that have run and are not yet
+	// confirmed by a majority.
 	maxUnconfirmedPerSlot = 32
-	// teamShare is the part of a full queue that one team may hold.
-	teamShare = 0.5
-	// initialCost is the slot time assumed before any was measured.
-	initialCost = 2 * time.Millisecond
+	// maxTeamQueueShare is the fraction of the queue that one team may occupy.
+	maxTeamQueueShare = 0.5
+	// initialSlotTime is the estimated slot time of a request before any has
+	// completed.
+	initialSlotTime = 2 * time.Millisecond
+	// slotTimeSmoothing is the divisor of the moving average of slot times.
+	slotTimeSmoothing = 8
 )
 
 // pool holds the connections and the slots of one member.
 type pool struct {
-	spec    conf.Upstream
-	target  upstream.Target
-	watcher *watch.Watcher
-	limit   int
-	log     zerolog.Logger
-	origin  time.Time
+	spec        conf.Upstream
+	target      upstream.Target
+	watcher     *watch.Watcher
+	answerLimit int
+	log         zerolog.Logger
+	origin      time.Time
 
-	// mu guards the fields below. It is never held while calling out.
+	// mu guards the fields below. It is not held during calls to other
+	// components.
 	mu       sync.Mutex
 	queue    *admit.Queue
 	tickets  map[uint64]chan bool
@@ -52,50 +56,51 @@
 	open     int
 	freed    chan struct{}
 	draining bool
-	cost     time.Duration
-	// unconfirmed counts the writes that ran and wait for a majority.
+	slotTime time.Duration
+	// unconfirmed counts the writes that have run and are not yet confirmed by a
+	// majority.
 	unconfirmed atomic.Int64
 	active      int
-	quiet       chan struct{}
+	drained     chan struct{}
 }
 
 func newPool(spec conf.Upstream, target upstream.Target, w *watch.Watcher, answerLimit int, log zerolog.Logger) *pool {
 	return &pool{
-		spec: spec, target: target, watcher: w, limit: answerLimit, log: log, origin: time.Now(),
+		spec: spec, target: target, watcher: w, answerLimit: answerLimit, log: log, origin: time.Now(),
 		queue: admit.NewQueue(admit.Config{
-			Slots: spec.Slots, MaxQueued: spec.Slots * queuePerSlot, MaxTeamShare: teamShare,
+			Slots: spec.Slots, MaxQueued: spec.Slots * maxQueuedPerSlot, MaxTeamShare: maxTeamQueueShare,
 		}),
-		tickets: make(map[uint64]chan bool),
-		freed:   make(chan struct{}),
-		quiet:   make(chan struct{}),
-		cost:    initialCost,
+		tickets:  make(map[uint64]chan bool),
+		freed:    make(chan struct{}),
+		drained:  make(chan struct{}),
+		slotTime: initialSlotTime,
 	}
 }
 
 func (p *pool) now() time.Duration { return time.Since(p.origin) }
 
-// capacity is how many pooled connections may be open.
-func (p *pool) capacity() int { return max(p.spec.Connections-controlReserve, p.spec.Slots) }
+// capacity is the maximum number of open pooled connections.
+func (p *pool) capacity() int { return max(p.spec.Connections-reservedControlConns, p.spec.Slots) }
 
-// enter takes a slot, waiting in the fair queue if none is free.
-func (p *pool) enter(ctx context.Context, team string, weight float64, deadline time.Time) *outcome.Refusal {
+// acquireSlot takes a slot, waiting in the fair queue if none is free.
+func (p *pool) acquireSlot(ctx context.Context, team string, weight float64, deadline time.Time) *outcome.Refusal {
 	p.mu.Lock()
 	p.nextID++
 	id := p.nextID
 	verdict := p.queue.Offer(admit.Request{
-		ID: id, Team: team, Weight: weight, Cost: p.cost, Deadline: p.now() + time.Until(deadline),
+		ID: id, Team: team, Weight: weight, Cost: p.slotTime, Deadline: p.now() + time.Until(deadline),
 	}, p.now())
 	if verdict != admit.Queued {
 		p.mu.Unlock()
-		return p.verdictRefusal(verdict)
+		return p.decisionRefusal(verdict)
 	}
 	ticket := make(chan bool, 1)
 	p.tickets[id] = ticket
 	p.mu.Unlock()
-	return p.await(ctx, id, ticket)
+	return p.awaitSlot(ctx, id, ticket)
 }
 
-func (p *pool) verdictRefusal(v admit.Decision) *outcome.Refusal {
+func (p *pool) decisionRefusal(v admit.Decision) *outcome.Refusal {
 	switch v {
 	case admit.QueueFull:
 		return outcome.Refuse(outcome.QueueFull, "upstream %s", p.spec.Name).WithRetryAfter(p.backlog())
@@ -106,14 +111,14 @@
 	}
 }
 
-// backlog estimates how long the queue takes to empty.
+// backlog estimates the time until the queue is empty.
 func (p *pool) backlog() time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.cost * time.Duration(p.queue.Waiting()) / time.Duration(max(p.spec.Slots, 1))
+	return p.slotTime * time.Duration(p.queue.Waiting()) / time.Duration(max(p.spec.Slots, 1))
 }
 
-func (p *pool) await(ctx context.Context, id uint64, ticket chan bool) *outcome.Refusal {
+func (p *pool) awaitSlot(ctx context.Context, id uint64, ticket chan bool) *outcome.Refusal {
 	select {
 	case run := <-ticket:
 		if run {
@@ -125,38 +130,39 @@
 		delete(p.tickets, id)
 		p.mu.Unlock()
 		if !waiting && <-ticket {
-			p.leave(0)
+			p.releaseSlot(0)
 		}
 	}
-	return p.verdictRefusal(admit.DeadlineUnreachable)
+	return p.decisionRefusal(admit.DeadlineUnreachable)
 }
 
-// leave frees a slot after the given slot time and starts the next requests.
-func (p *pool) leave(took time.Duration) {
+// releaseSlot frees a slot that was held for the given time and starts queued
+// requests. A time of zero is not counted in the estimate.
+func (p *pool) releaseSlot(took time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if took > 0 {
-		p.cost += (took - p.cost) / 8
+		p.slotTime += (took - p.slotTime) / slotTimeSmoothing
 	}
-	start, late := p.queue.Done(took, p.now())
-	for _, r := range start {
-		p.answer(r.ID, true)
+	started, late := p.queue.Done(took, p.now())
+	for _, r := range started {
+		p.resolveTicket(r.ID, true)
 	}
 	for _, r := range late {
-		p.answer(r.ID, false)
+		p.resolveTicket(r.ID, false)
 	}
 }
 
-// answer needs mu held.
-func (p *pool) answer(id uint64, run bool) {
+// resolveTicket needs mu held.
+func (p *pool) resolveTicket(id uint64, run bool) {
 	if ticket, found := p.tickets[id]; found {
 		ticket <- run
 		delete(p.tickets, id)
 	}
 }
 
-// take returns a clean connection, opening one if the limit allows.
-func (p *pool) take(ctx context.Context) (*upstream.Conn, *outcome.Refusal) {
+// acquireConn returns a clean connection, opening one if the limit allows.
+func (p *pool) acquireConn(ctx context.Context) (*upstream.Conn, *outcome.Refusal) {
 	for {
 		p.mu.Lock()
 		if n := len(p.idle); n > 0 {
@@ -181,54 +187,54 @@
 }
 
 func (p *pool) dial(ctx context.Context) (*upstream.Conn, *outcome.Refusal) {
-	c, err := upstream.Open(ctx, p.target, p.limit)
+	c, err := upstream.Open(ctx, p.target, p.answerLimit)
 	if err == nil {
 		return c, nil
 	}
-	p.forget()
+	p.connClosed()
 	p.watcher.Suspect()
 	eventlog.ConnectionFailed.Warn(p.log).Err(err).Str("upstream", p.spec.Name).Send()
 	return nil, outcome.Refuse(outcome.WrongMember, "upstream %s cannot be reached", p.spec.Name)
 }
 
-// forget notes that an open connection is gone.
-func (p *pool) forget() {
+// connClosed removes a closed connection from the count of open ones.
+func (p *pool) connClosed() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.open--
-	p.wake()
+	p.signalFreed()
 }
 
-// wake needs mu held; it lets requests look for a connection again.
-func (p *pool) wake() {
+// signalFreed wakes the requests that wait for a connection; it needs mu held.
+func (p *pool) signalFreed() {
 	close(p.freed)
 	p.freed = make(chan struct{})
 }
 
-// put returns a connection. One that is not clean is closed, so that a late
-// answer reaches nobody else.
-func (p *pool) put(c *upstream.Conn) {
+// releaseConn returns a connection to the pool. A connection that is not clean is
+// closed, so that a late answer cannot reach another request.
+func (p *pool) releaseConn(c *upstream.Conn) {
 	p.mu.Lock()
 	keep := c.Clean() && !p.draining
 	if keep {
 		p.idle = append(p.idle, c)
-		p.wake()
+		p.signalFreed()
 	}
 	p.mu.Unlock()
 	if !keep {
 		c.Close()
-		p.forget()
+		p.connClosed()
 	}
 }
 
-// stalled reports whether so many writes wait for replication that no more
+// replicationStalled reports whether so many writes are unconfirmed that no more
 // should run.
-func (p *pool) stalled() bool {
+func (p *pool) replicationStalled() bool {
 	return p.unconfirmed.Load() >= int64(p.spec.Slots*maxUnconfirmedPerSlot)
 }
 
-// begin counts a request in; it fails once the pool is being handed over.
-func (p *pool) begin() bool {
+// beginRequest counts a request as active. It fails once the pool is draining.
+func (p *pool) beginRequest() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.draining {
@@ -238,28 +244,28 @@
 	return true
 }
 
-func (p *pool) finish() {
+func (p *pool) endRequest() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.active--
 	if p.draining && p.active == 0 {
-		close(p.quiet)
+		close(p.drained)
 	}
 }
 
-// drain refuses new requests and waits for those in progress, transactions
-// included, until the context ends.
+// drain refuses new requests, waits for active ones, transactions included, until
+// the context ends, and closes the idle connections.
 func (p *pool) drain(ctx context.Context) {
 	p.mu.Lock()
 	if !p.draining {
 		p.draining = true
 		if p.active == 0 {
-			close(p.quiet)
+			close(p.drained)
 		}
 	}
 	p.mu.Unlock()
 	select {
-	case <-p.quiet:
+	case <-p.drained:
 	case <-ctx.Done():
 	}
 	p.mu.Lock()
@@ -271,11 +277,11 @@
 	p.idle = nil
 }
 
-// restPoll is how often a pool is asked whether anything runs.
-const restPoll = 10 * time.Millisecond
+// idlePollInterval is how often awaitIdle checks for active requests.
+const idlePollInterval = 10 * time.Millisecond
 
-// rest waits until no request and no transaction is in progress.
-func (p *pool) rest(ctx context.Context) {
+// awaitIdle waits until no request or transaction is active.
+func (p *pool) awaitIdle(ctx context.Context) {
 	for {
 		p.mu.Lock()
 		active := p.active
@@ -284,27 +290,27 @@
 			return
 		}
 		select {
-		case <-time.After(restPoll):
+		case <-time.After(idlePollInterval):
 		case <-ctx.Done():
 			return
 		}
 	}
 }
 
-// prepare opens connections ahead of an event, up to one for each slot.
-func (p *pool) prepare(ctx context.Context) {
+// warmUp opens connections in advance, up to one for each slot.
+func (p *pool) warmUp(ctx context.Context) {
 	for range p.spec.Slots {
 		p.mu.Lock()
-		enough := p.open >= min(p.capacity(), p.spec.Slots) || p.draining
-		if !enough {
+		warm := p.open >= min(p.capacity(), p.spec.Slots) || p.draining
+		if !warm {
 			p.open++
 		}
 		p.mu.Unlock()
-		if enough {
+		if warm {
 			return
 		}
 		if c, refusal := p.dial(ctx); refusal == nil {
-			p.put(c)
+			p.releaseConn(c)
 		}
 	}
 }
--- a/node/owner/recent.go
+++ b/node/owner/recent.go
@@ -2,30 +2,30 @@
 
 import "sync"
 
-// windowBits is how many request numbers are remembered for each sender.
+// windowBits is the number of request IDs remembered for each sender.
 const (
 	wordBits   = 64
 	windowBits = 64 * wordBits
 )
 
-// recent remembers the newest requests of each sender, so that a message that
-// is delivered twice runs once. A number below the remembered window counts as
-// seen, which refuses a request rather than running it twice.
-type recent struct {
+// recentRequests remembers the newest request IDs of each sender, so that a
+// message that is delivered twice runs once. An ID older than the window counts
+// as seen: the request is refused rather than possibly run twice.
+type recentRequests struct {
 	mu      sync.Mutex
 	senders map[string]*window
 }
 
-// window is a ring of one bit for each of the newest numbers up to high.
+// window is a ring buffer with one bit for each ID up to high.
 type window struct {
 	high uint64
 	bits [windowBits / wordBits]uint64
 }
 
-func newRecent() *recent { return &recent{senders: make(map[string]*window)} }
+func newRecentRequests() *recentRequests { return &recentRequests{senders: make(map[string]*window)} }
 
-// add notes a request and reports whether it is new.
-func (r *recent) add(sender string, id uint64) bool {
+// add records a request and reports whether it is new.
+func (r *recentRequests) add(sender string, id uint64) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	w, found := r.senders[sender]
@@ -36,8 +36,8 @@
 	return w.add(id)
 }
 
-// forget drops a sender that is gone for good.
-func (r *recent) forget(sender string) {
+// removeSender drops the window of a dead sender.
+func (r *recentRequests) removeSender(sender string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	delete(r.senders, sender)
@@ -49,7 +49,7 @@
 	} else if w.high-id >= windowBits {
 		return false
 	}
-	word, bit := w.place(id)
+	word, bit := w.locate(id)
 	if *word&bit != 0 {
 		return false
 	}
@@ -57,7 +57,7 @@
 	return true
 }
 
-// advance moves the window up to id and clears what it newly covers.
+// advance moves the window up to id and clears the bits of the IDs that enter it.
 func (w *window) advance(id uint64) {
 	if id-w.high >= windowBits {
 		clear(w.bits[:])
@@ -66,12 +66,12 @@
 	}
 	for w.high < id {
 		w.high++
-		word, bit := w.place(w.high)
+		word, bit := w.locate(w.high)
 		*word &^= bit
 	}
 }
 
-func (w *window) place(id uint64) (word *uint64, bit uint64) {
+func (w *window) locate(id uint64) (word *uint64, bit uint64) {
 	slot := id % windowBits
 	return &w.bits[slot/wordBits], 1 << (slot % wordBits)
 }
--- a/node/owner/recent_test.go
+++ b/node/owner/recent_test.go
@@ -11,11 +11,11 @@
 
 func TestMain(m *testing.M) { fixedseed.Main(m) }
 
-// TestRecentRunsEachRequestOnce delivers request numbers in any order and with
-// repeats: none is new twice, and every one within the window is new once.
-func TestRecentRunsEachRequestOnce(t *testing.T) {
+// IDs arrive in any order and repeatedly: none is new twice, and each one within
+// the window is new once.
+func TestRecentRequestsAcceptEachIDOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		r := newRecent()
+		r := newRecentRequests()
 		taken := map[uint64]bool{}
 		high := uint64(0)
 		for range rapid.IntRange(1, 300).Draw(t, "deliveries") {
--- a/node/owner/running.go
+++ b/node/owner/running.go
@@ -5,39 +5,39 @@
 	"sync"
 )
 
-// runKey names a request in progress.
-type runKey struct {
+// requestKey identifies a request in progress.
+type requestKey struct {
 	sender string
 	id     uint64
 }
 
-// running finds the requests in progress, for cancel calls.
-type running struct {
-	mu   sync.Mutex
-	ends map[runKey]context.CancelFunc
+// runningRequests holds the cancel functions of the requests in progress.
+type runningRequests struct {
+	mu      sync.Mutex
+	cancels map[requestKey]context.CancelFunc
 }
 
-// add registers a request and returns the function that takes it out.
-func (r *running) add(sender string, id uint64, cancel context.CancelFunc) func() {
-	key := runKey{sender, id}
+// add registers a request and returns the function that removes it.
+func (r *runningRequests) add(sender string, id uint64, cancel context.CancelFunc) func() {
+	key := requestKey{sender, id}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.ends == nil {
-		r.ends = make(map[runKey]context.CancelFunc)
+	if r.cancels == nil {
+		r.cancels = make(map[requestKey]context.CancelFunc)
 	}
-	r.ends[key] = cancel
+	r.cancels[key] = cancel
 	return func() {
 		r.mu.Lock()
 		defer r.mu.Unlock()
-		delete(r.ends, key)
+		delete(r.cancels, key)
 	}
 }
 
-// Cancel stops a request in progress; one that is not known is left alone.
+// Cancel stops a request in progress; an unknown one is ignored.
 func (o *Owner) Cancel(sender string, id uint64) {
-	o.runs.mu.Lock()
-	cancel, found := o.runs.ends[runKey{sender, id}]
-	o.runs.mu.Unlock()
+	o.running.mu.Lock()
+	cancel, found := o.running.cancels[requestKey{sender, id}]
+	o.running.mu.Unlock()
 	if found {
 		cancel()
 	}
--- a/node/owner/transaction.go
+++ b/node/owner/transaction.go
@@ -7,15 +7,15 @@
 	"github.com/dotterelswitch/dotterelswitch/node/upstream"
 )
 
-// transaction is a connection held between the statements of a transaction.
+// transaction is an open transaction and the connection reserved for it.
 type transaction struct {
 	id     uint64
 	sender string
 	pool   *pool
 	conn   *upstream.Conn
-	// used is when the last statement ended; busy is set while one runs.
-	used time.Time
-	busy bool
+	// lastUsed is when the last statement ended; busy is set while one runs.
+	lastUsed time.Time
+	busy     bool
 }
 
 // transactions holds the open transactions of all pools.
@@ -25,17 +25,17 @@
 	open map[uint64]*transaction
 }
 
-// add keeps a connection for a transaction and returns its number.
+// add registers a transaction on a connection and returns its ID.
 func (t *transactions) add(sender string, p *pool, c *upstream.Conn) uint64 {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.next++
-	t.open[t.next] = &transaction{id: t.next, sender: sender, pool: p, conn: c, used: time.Now()}
+	t.open[t.next] = &transaction{id: t.next, sender: sender, pool: p, conn: c, lastUsed: time.Now()}
 	return t.next
 }
 
-// claim takes a transaction for one statement. It fails when there is none of
-// that number for the sender, or a statement of it is still running.
+// claim reserves a transaction for one statement. It fails if the sender has no
+// such transaction in the pool, or if a statement of it is running.
 func (t *transactions) claim(id uint64, sender string, p *pool) (*transaction, bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -47,23 +47,24 @@
 	return tx, true
 }
 
-// settle ends a statement. The transaction stays open or is forgotten.
-func (t *transactions) settle(tx *transaction, open bool) {
+// endStatement marks the transaction as idle, or removes it unless it is still
+// open.
+func (t *transactions) endStatement(tx *transaction, open bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	tx.busy, tx.used = false, time.Now()
+	tx.busy, tx.lastUsed = false, time.Now()
 	if !open {
 		delete(t.open, tx.id)
 	}
 }
 
-// takeIf removes and returns the idle transactions for which drop is true.
-func (t *transactions) takeIf(drop func(*transaction) bool) []*transaction {
+// removeIf removes and returns the idle transactions for which match is true.
+func (t *transactions) removeIf(match func(*transaction) bool) []*transaction {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	var out []*transaction
 	for id, tx := range t.open {
-		if !tx.busy && drop(tx) {
+		if !tx.busy && match(tx) {
 			delete(t.open, id)
 			out = append(out, tx)
 		}
--- a/node/owner/trim.go
+++ b/node/owner/trim.go
@@ -18,36 +18,36 @@
 	trimTimeout = 30 * time.Second
 )
 
-// trimDue starts to delete the ledger's rows that are past their age, if the
-// member is primary and the interval has passed. It does not wait, because its
-// caller watches over the member's lock. Rows are kept longer than keys are
-// accepted, so no key that is still accepted loses its row.
-func (h *holding) trimDue(now time.Time) {
-	if now.Sub(h.trimmed) < trimInterval || !h.serving() || !h.isPrimary() {
+// trimDue starts to delete expired ledger rows if the member is the primary and
+// the interval has passed. It does not block, because its caller also monitors
+// the member's lock. Rows are kept longer than keys are accepted, so an accepted
+// key never loses its row.
+func (c *poolClaim) trimDue(now time.Time) {
+	if now.Sub(c.trimmedAt) < trimInterval || !c.serving() || !c.isPrimary() {
 		return
 	}
-	h.trimmed = now
-	h.owner.wg.Go(func() {
-		ctx, cancel := context.WithTimeout(h.ctx, trimTimeout)
+	c.trimmedAt = now
+	c.owner.wg.Go(func() {
+		ctx, cancel := context.WithTimeout(c.ctx, trimTimeout)
 		defer cancel()
-		if err := h.trim(ctx, now); err != nil {
-			eventlog.LedgerNotTrimmed.Warn(h.owner.cfg.Log).Err(err).Str("upstream", h.spec.Name).Send()
+		if err := c.trim(ctx, now); err != nil {
+			eventlog.LedgerNotTrimmed.Warn(c.owner.cfg.Log).Err(err).Str("upstream", c.spec.Name).Send()
 		}
 	})
 }
 
 // trim takes a slot like any other request.
-func (h *holding) trim(ctx context.Context, now time.Time) error {
-	if refusal := h.pool.enter(ctx, trimTeam, 1, now.Add(trimTimeout)); refusal != nil {
+func (c *poolClaim) trim(ctx context.Context, now time.Time) error {
+	if refusal := c.pool.acquireSlot(ctx, trimTeam, 1, now.Add(trimTimeout)); refusal != nil {
 		return refusal
 	}
 	started := time.Now()
-	defer func() { h.pool.leave(time.Since(started)) }()
-	conn, refusal := h.pool.take(ctx)
+	defer func() { c.pool.releaseSlot(time.Since(started)) }()
+	conn, refusal := c.pool.acquireConn(ctx)
 	if refusal != nil {
 		return refusal
 	}
-	defer h.pool.put(conn)
+	defer c.pool.releaseConn(conn)
 	sql := "DELETE FROM dotterelswitch_ledger WHERE created < " + upstream.Literal(ledger.TrimCutoff(now))
 	frames, err := (&pgproto3.Query{String: sql}).Encode(nil)
 	if err != nil {
@@ -57,5 +57,6 @@
 	return err
 }
 
-// trimTeam is the name under which trims queue; callers cannot have it.
+// trimTeam is the team of trims in the queue. Its name is not valid for a team of
+// callers.
 const trimTeam = "(ledger)"
--- a/node/owner/watched_group.go
+++ b/node/owner/watched_group.go
@@ -18,14 +18,14 @@
 	cancel   context.CancelFunc
 }
 
-// applicationRoot begins the application names of all hosts.
-const applicationRoot = "dotterelswitch/"
+// applicationNameRoot is the common prefix of the application names of all hosts.
+const applicationNameRoot = "dotterelswitch/"
 
-// applicationName marks the connections of one incarnation of a host, for
-// members to end them when the host is dead.
-func applicationName(h membership.Host) string { return applicationRoot + SenderName(h) }
+// applicationName identifies the connections of one incarnation of a host, so
+// that they can be terminated when the host is dead.
+func applicationName(h membership.Host) string { return applicationNameRoot + SenderName(h) }
 
-func applicationPrefix(hostID string) string { return applicationRoot + hostID + "/" }
+func applicationPrefix(hostID string) string { return applicationNameRoot + hostID + "/" }
 
 func target(cfg Config, service string, u conf.Upstream) upstream.Target {
 	return upstream.Target{
@@ -46,13 +46,13 @@
 	g.watcher = watch.New(watch.Config{
 		Service: s.Name, Members: s.UpstreamNames(), Controls: g.controls,
 		Claimant: applicationName(cfg.Host), Rank: rank, Timing: cfg.Timing,
-		Seed: membership.Score(s.Name, cfg.Host.ID), Record: cfg.Record, Log: cfg.Log,
+		Seed: membership.Score(s.Name, cfg.Host.ID), Record: cfg.RecordPromotion, Log: cfg.Log,
 	})
 	go g.watcher.Run(ctx)
 	return g
 }
 
-// sameMembers reports whether the group's members and addresses are those of s.
+// sameMembers reports whether the group has the same members and addresses as s.
 func (g *watchedGroup) sameMembers(s conf.Service) bool {
 	return slices.EqualFunc(g.spec.Upstreams, s.Upstreams, func(a, b conf.Upstream) bool {
 		return a.Name == b.Name && a.Address == b.Address
--- a/node/peer/client.go
+++ b/node/peer/client.go
@@ -1,4 +1,4 @@
-// Package peer carries the calls between hosts over connect-go and HTTP/2.
+// Package peer implements the RPCs between hosts with connect-go over HTTP/2.
 package peer
 
 import (
@@ -17,9 +17,9 @@
 )
 
 const (
-	// pingAfter and pingTimeout find connections that lead nowhere while
-	// membership has not noticed. They are long, because a host has idle
-	// connections to many others.
+	// pingAfter and pingTimeout detect dead connections that membership has not
+	// noticed. They are long because a host keeps idle connections to many
+	// others.
 	pingAfter   = 15 * time.Second
 	pingTimeout = 2 * time.Second
 	dialTimeout = 500 * time.Millisecond
@@ -28,7 +28,7 @@
 // keyHeader carries the key that hosts and operators share.
 const keyHeader = "Dotterelswitch-Key"
 
-// CallError reports a call whose answer did not arrive.
+// CallError reports a call without an answer.
 type CallError struct {
 	Address string
 	// Sent reports whether the call may have reached the other host.
@@ -49,16 +49,16 @@
 	peers map[string]*peerConn
 }
 
-// peerConn is what a client keeps of one host.
+// peerConn is a client's state for one host.
 type peerConn struct {
 	client peerpbconnect.PeerClient
-	// calls ends when the host is believed dead.
-	calls context.Context
-	fail  context.CancelCauseFunc
+	// callsCtx is cancelled when the host is considered dead.
+	callsCtx    context.Context
+	cancelCalls context.CancelCauseFunc
 }
 
-// errDead is why calls to a host end when it is believed dead.
-var errDead = errors.New("the host is believed dead")
+// errHostDead is the cause with which calls to a dead host are cancelled.
+var errHostDead = errors.New("the host is believed dead")
 
 // NewClient returns a client that opens connections with dial.
 func NewClient(dial func(ctx context.Context, network, addr string) (net.Conn, error), key string) *Client {
@@ -74,7 +74,7 @@
 	}
 }
 
-// boundedDial returns a dial function that gives up after a time.
+// boundedDial returns a dial function with a timeout.
 func boundedDial(dial func(ctx context.Context, network, addr string) (net.Conn, error), limit time.Duration) func(ctx context.Context, network, addr string) (net.Conn, error) {
 	return func(ctx context.Context, network, addr string) (net.Conn, error) {
 		ctx, cancel := context.WithTimeout(ctx, limit)
@@ -89,28 +89,28 @@
 	p, found := c.peers[address]
 	if !found {
 		p = &peerConn{client: peerpbconnect.NewPeerClient(c.http, "http://"+address, connect.WithInterceptors(sendKey(c.key)))}
-		p.calls, p.fail = context.WithCancelCause(context.Background())
+		p.callsCtx, p.cancelCalls = context.WithCancelCause(context.Background())
 		c.peers[address] = p
 	}
 	return p
 }
 
-// Fail ends the calls in progress to a host that is believed dead, so that
-// they get their final answer at once. Later calls try anew.
-func (c *Client) Fail(address string) {
+// CancelCalls cancels the calls in progress to a host that is considered dead, so
+// that they fail immediately. Later calls open a new connection.
+func (c *Client) CancelCalls(address string) {
 	c.mu.Lock()
 	p, found := c.peers[address]
 	delete(c.peers, address)
 	c.mu.Unlock()
 	if found {
-		p.fail(errDead)
+		p.cancelCalls(errHostDead)
 	}
 }
 
-// bind returns a context that also ends when the host is believed dead.
+// bind returns a context that is also cancelled when the host is considered dead.
 func (p *peerConn) bind(ctx context.Context) (context.Context, context.CancelFunc) {
 	ctx, cancel := context.WithCancelCause(ctx)
-	stop := context.AfterFunc(p.calls, func() { cancel(errDead) })
+	stop := context.AfterFunc(p.callsCtx, func() { cancel(errHostDead) })
 	return ctx, func() {
 		stop()
 		cancel(nil)
@@ -152,7 +152,7 @@
 	return nil
 }
 
-// Cancel stops a request that another host runs.
+// Cancel stops a request on another host.
 func (c *Client) Cancel(ctx context.Context, address, sender string, id uint64) error {
 	_, err := c.peer(address).client.Cancel(ctx, connect.NewRequest(&peerpb.CancelRequest{Sender: sender, RequestId: id}))
 	if err != nil {
@@ -161,15 +161,15 @@
 	return nil
 }
 
-// ConfigUpdate is what brings a host up to a version: the changes above its
-// own, or a snapshot.
+// ConfigUpdate brings a host up to a version: with the changes above its own
+// version, or with a snapshot.
 type ConfigUpdate struct {
 	Version  uint64
 	Changes  [][]byte
 	Snapshot []byte
 }
 
-// FetchConfig returns what another host has above a version.
+// FetchConfig returns another host's configuration changes above a version.
 func (c *Client) FetchConfig(ctx context.Context, address string, above uint64) (ConfigUpdate, error) {
 	resp, err := c.peer(address).client.FetchConfig(ctx, connect.NewRequest(&peerpb.FetchConfigRequest{AboveVersion: above}))
 	if err != nil {
@@ -180,8 +180,8 @@
 	}, nil
 }
 
-// OfferChange tells another host of an accepted change, given as JSON, and
-// returns the host's version afterwards.
+// OfferChange sends another host an accepted change, given as JSON, and returns
+// the host's version afterwards.
 func (c *Client) OfferChange(ctx context.Context, address string, change []byte) (uint64, error) {
 	resp, err := c.peer(address).client.OfferChange(ctx, connect.NewRequest(&peerpb.OfferChangeRequest{Change: change}))
 	if err != nil {
@@ -190,18 +190,17 @@
 	return resp.Msg.GetVersion(), nil
 }
 
-// callError tells a call that certainly was not sent from one that may have
-// been. Only a failed dial is certain.
+// callError wraps the error of a failed call.
 func callError(address string, err error) error {
-	return &CallError{Address: address, Sent: maySent(err), Err: err}
+	return &CallError{Address: address, Sent: mayHaveReached(err), Err: err}
 }
 
-// maySent reports whether a call that failed may have reached the other host.
-// Only a failed dial is certain.
-func maySent(err error) bool {
+// mayHaveReached reports whether a failed call may have reached the other host.
+// Only a failed dial rules that out.
+func mayHaveReached(err error) bool {
 	var op *net.OpError
 	return !errors.As(err, &op) || op.Op != "dial"
 }
 
-// Close drops idle connections.
+// Close closes idle connections.
 func (c *Client) Close() { c.http.CloseIdleConnections() }
--- a/node/peer/compress_test.go
+++ b/node/peer/compression_test.go
@@ -22,28 +22,29 @@
 	"github.com/dotterelswitch/dotterelswitch/node/replicaset"
 )
 
-// answering is a gate whose member answers at once, and whose picture of the
-// store holds one configuration of 100 KB.
-type answering struct{}
+// stubGate answers statements immediately and has a store listing of 100 KB.
+type stubGate struct{}
 
-func (answering) RunJob(context.Context, string, replicaset.Job) replicaset.Result {
+func (stubGate) RunJob(context.Context, string, replicaset.Job) replicaset.Result {
 	return replicaset.Result{Answer: statement.Answer{Code: statement.OK, Signature: "signature", Rows: []string{"a row"}}}
 }
 
-func (answering) Listing(store.Revision) store.Listing {
+func (stubGate) Listing(store.Revision) store.Listing {
 	return store.Listing{Revision: 7, Items: []store.Item{{Key: "config", Value: bytes.Repeat([]byte("route "), 17_000)}}}
 }
 
-func (answering) Configuration(uint64) []byte                                           { return nil }
-func (answering) Tell(context.Context, store.Revision, func(registry.News) error) error { return nil }
+func (stubGate) Configuration(uint64) []byte { return nil }
+func (stubGate) StreamChanges(context.Context, store.Revision, func(registry.News) error) error {
+	return nil
+}
 
-func (answering) Detached(string) {}
+func (stubGate) Detached(string) {}
 
 // serveGate starts a gate and returns its address.
 func serveGate(t testing.TB) string {
 	t.Helper()
 	mux := http.NewServeMux()
-	mux.Handle(NewGateServer(answering{}))
+	mux.Handle(NewGateServer(stubGate{}))
 	protocols := new(http.Protocols)
 	protocols.SetHTTP1(true)
 	protocols.SetUnencryptedHTTP2(true)
@@ -54,7 +55,8 @@
 	return s.Listener.Addr().String()
 }
 
-// encodingOf returns how a gate encodes the answer to a call that takes gzip.
+// encodingOf returns the Content-Encoding of the answer to a call that accepts
+// gzip.
 func encodingOf(t *testing.T, address, procedure string, m proto.Message) string {
 	t.Helper()
 	body, err := proto.Marshal(m)
@@ -70,17 +72,16 @@
 	return resp.Header.Get("Content-Encoding")
 }
 
-// TestOnlyLargeAnswersAreCompressed: a statement's answer is a packet either way;
-// a configuration goes to a whole zone over one host's link.
+// Compression costs more than it saves on a statement's small answer, while
+// listings of the store are large.
 func TestOnlyLargeAnswersAreCompressed(t *testing.T) {
 	address := serveGate(t)
 	require.Empty(t, encodingOf(t, address, peerpbconnect.GateRunProcedure, &peerpb.JobRequest{Service: "svc"}))
 	require.Equal(t, "gzip", encodingOf(t, address, peerpbconnect.GateListingProcedure, &peerpb.ListingRequest{}))
 }
 
-// BenchmarkGateCall sends a statement to a gate on one processor, with a
-// collection of garbage every ten calls. With every answer compressed: 210 to 270
-// µs and 22.7 KB a call; now 151 to 154 µs and 18.3 KB.
+// BenchmarkGateCall sends statements to a gate on one processor, with a garbage
+// collection every ten calls, which empties the pool of compressors.
 func BenchmarkGateCall(b *testing.B) {
 	address := serveGate(b)
 	c := NewGateClient(b.Context(), (&net.Dialer{}).DialContext, "host")
--- a/node/peer/gate_client.go
+++ b/node/peer/gate_client.go
@@ -18,57 +18,53 @@
 )
 
 const (
-	// gatePing and gatePingTimeout find a connection whose other end is gone
-	// without a word and that nobody uses; one that statements wait on is given up
-	// sooner, by Drop. Load pattern: each of 300 hosts reaches the gates of 60
-	// members, 17,000 connections with a statement every few seconds; a ping a
-	// second on each would be four for each statement of a busy fleet.
-	gatePing        = 10 * time.Second
+	// gatePingAfter and gatePingTimeout detect dead connections that are idle;
+	// Drop closes those with waiting statements sooner. The interval is long
+	// because hosts keep idle connections to most others of a large fleet.
+	gatePingAfter   = 10 * time.Second
 	gatePingTimeout = time.Second
-	// gateDialTimeout bounds a connection to a gate, which a caller waits for: three
-	// round trips between the regions that are furthest apart, 40 ms. Fault pattern:
-	// the fleet is cut in two, and a host finds a third of its gates out of reach,
-	// one statement after another. All three gates of a member are tried within 400
-	// ms, which leaves a caller with 500 ms time for a connection of this host's own;
-	// with 250 ms each its time was over first.
+	// gateDialTimeout bounds the dial to a gate, which a caller waits for. It
+	// covers a few round trips between distant regions. It is short enough that
+	// all gates of a member can be tried and time is left for a direct connection
+	// during a partition.
 	gateDialTimeout = 120 * time.Millisecond
-	// answerSlack is what an answer may take beyond the statement's own time:
-	// the way back between regions.
-	answerSlack = 60 * time.Millisecond
+	// responseSlack is the time added to a statement's deadline for the
+	// response's way back between regions.
+	responseSlack = 60 * time.Millisecond
 )
 
 // GateClient sends jobs to other hosts. It is safe for concurrent use.
 type GateClient struct {
 	http  *http.Client
 	owner string
-	// ctx bounds the attachments.
+	// ctx bounds the Attach streams.
 	ctx context.Context
-	// open are the connections that stand.
-	open *openConns
+	// conns tracks the open connections.
+	conns *openConns
 
 	// mu guards gates.
 	mu    sync.Mutex
 	gates map[string]*gateConn
 }
 
-// gateConn is what a client keeps of one gate.
+// gateConn is a client's state for one gate.
 type gateConn struct {
 	client peerpbconnect.GateClient
-	// attached tells that a stream is open, or is being opened.
+	// attached is whether an Attach stream is open or being opened.
 	attached bool
 }
 
-// NewGateClient returns a client that opens connections with dial until ctx
-// ends. Owner names this host and its incarnation.
+// NewGateClient returns a client that opens connections with dial until ctx ends.
+// Owner names this host and its incarnation.
 func NewGateClient(ctx context.Context, dial replicaset.DialFunc, owner string) *GateClient {
 	protocols := new(http.Protocols)
 	protocols.SetUnencryptedHTTP2(true)
-	open := newOpenConns()
+	conns := newOpenConns()
 	return &GateClient{
-		owner: owner, ctx: ctx, open: open, gates: map[string]*gateConn{},
+		owner: owner, ctx: ctx, conns: conns, gates: map[string]*gateConn{},
 		http: &http.Client{Transport: &http.Transport{
-			Protocols: protocols, DialContext: open.tracking(boundedDial(dial, gateDialTimeout)),
-			HTTP2: &http.HTTP2Config{SendPingTimeout: gatePing, PingTimeout: gatePingTimeout},
+			Protocols: protocols, DialContext: conns.track(boundedDial(dial, gateDialTimeout)),
+			HTTP2: &http.HTTP2Config{SendPingTimeout: gatePingAfter, PingTimeout: gatePingTimeout},
 		}},
 	}
 }
@@ -84,24 +80,25 @@
 	return g
 }
 
-// Run runs a job on another host. A job that must not be broken off needs a
+// Run runs a job on another host. A job that must not be interrupted needs a
 // context that does not end.
 func (c *GateClient) Run(ctx context.Context, address, service string, j replicaset.Job) replicaset.Result {
 	g := c.gate(address)
 	if j.Kind == replicaset.JobBegin {
 		c.attach(g)
 	}
-	ctx, cancel := context.WithDeadline(ctx, clock.Deadline(j.Work.EndBy+answerSlack))
+	ctx, cancel := context.WithDeadline(ctx, clock.Deadline(j.Work.EndBy+responseSlack))
 	defer cancel()
 	asked := clock.Now()
 	resp, err := g.client.Run(ctx, connect.NewRequest(jobToProto(service, j)))
 	if err != nil {
-		return replicaset.Result{Err: &replicaset.GateError{Address: address, Sent: maySent(err), Err: err}}
+		return replicaset.Result{Err: &replicaset.GateError{Address: address, Sent: mayHaveReached(err), Err: err}}
 	}
 	return resultFromProto(resp.Msg, asked)
 }
 
-// attach keeps a stream open, whose end tells the gate that this host is gone.
+// attach keeps an Attach stream open, whose end tells the gate that this host is
+// gone.
 func (c *GateClient) attach(g *gateConn) {
 	c.mu.Lock()
 	attached := g.attached
@@ -118,7 +115,7 @@
 		}()
 		stream, err := g.client.Attach(c.ctx, connect.NewRequest(&peerpb.AttachRequest{Owner: c.owner}))
 		if err != nil {
-			// The next transaction attaches anew; the gate ends what is unused.
+			// The next transaction retries; the gate rolls back unused ones.
 			return
 		}
 		for stream.Receive() {
@@ -127,7 +124,8 @@
 	}()
 }
 
-// Listing asks another host what it knows of the store above a revision.
+// Listing returns another host's view of the store if it is newer than a
+// revision.
 func (c *GateClient) Listing(ctx context.Context, address string, above store.Revision) (store.Listing, error) {
 	resp, err := c.gate(address).client.Listing(ctx, connect.NewRequest(&peerpb.ListingRequest{Above: uint64(above)}))
 	if err != nil {
@@ -136,7 +134,8 @@
 	return store.Listing{Revision: store.Revision(resp.Msg.GetRevision()), Items: itemsFromProto(resp.Msg.GetItems())}, nil
 }
 
-// Configuration asks another host for its configuration if it is above a version.
+// Configuration returns another host's configuration if it is newer than a
+// version.
 func (c *GateClient) Configuration(ctx context.Context, address string, above uint64) ([]byte, error) {
 	resp, err := c.gate(address).client.Configuration(ctx, connect.NewRequest(&peerpb.ConfigurationRequest{Above: above}))
 	if err != nil {
@@ -145,9 +144,9 @@
 	return resp.Msg.GetDocument(), nil
 }
 
-// Follow has another host tell what changes in the store after a revision, until
-// the context or the stream ends.
-func (c *GateClient) Follow(ctx context.Context, address string, after store.Revision, take func(registry.News)) error {
+// Follow subscribes to another host's changes of the store after a revision,
+// until the context or the stream ends.
+func (c *GateClient) Follow(ctx context.Context, address string, after store.Revision, receive func(registry.News)) error {
 	stream, err := c.gate(address).client.Follow(ctx, connect.NewRequest(&peerpb.FollowRequest{After: uint64(after)}))
 	if err != nil {
 		return callError(address, err)
@@ -155,7 +154,7 @@
 	defer func() { _ = stream.Close() }()
 	for stream.Receive() {
 		m := stream.Msg()
-		take(registry.News{
+		receive(registry.News{
 			Listing:  store.Listing{Revision: store.Revision(m.GetRevision()), Items: itemsFromProto(m.GetItems())},
 			Complete: m.GetComplete(),
 		})
@@ -171,12 +170,13 @@
 	}
 }
 
-// errStreamEnded is a stream that the other host has closed in order.
+// errStreamEnded reports a stream that the other host has closed without an
+// error.
 var errStreamEnded = errors.New("the other host has ended the stream")
 
-// Drop closes the connections to a host that gives no sign of life. What waits on
-// them fails, and the next job opens a new one.
-func (c *GateClient) Drop(address string) { c.open.closeAll(address) }
+// Drop closes the connections to an unresponsive host. Calls on them fail, and
+// the next job opens a new connection.
+func (c *GateClient) Drop(address string) { c.conns.closeAll(address) }
 
-// Close drops idle connections.
+// Close closes idle connections.
 func (c *GateClient) Close() { c.http.CloseIdleConnections() }
--- a/node/peer/gate_convert.go
+++ b/node/peer/gate_convert.go
@@ -12,7 +12,7 @@
 	"github.com/dotterelswitch/dotterelswitch/node/replicaset"
 )
 
-// The kinds of failures in a JobResponse.
+// Values of JobResponse.failure.
 const (
 	failureNone uint32 = iota
 	failureRefused
@@ -21,8 +21,9 @@
 	failureDead
 )
 
-// left turns a time on this host's clock into what is left of it.
-func left(at, now time.Duration) int64 { return (at - now).Microseconds() }
+// remainingMicros converts a deadline on this host's clock into the remaining
+// time in microseconds.
+func remainingMicros(at, now time.Duration) int64 { return (at - now).Microseconds() }
 
 func jobToProto(service string, j replicaset.Job) *peerpb.JobRequest {
 	now := clock.Now()
@@ -37,8 +38,8 @@
 		Consistency: uint32(w.Route.Consistency), MaxStalenessUs: w.Route.MaxStaleness.Microseconds(),
 		Priority: int32(w.Route.Priority), Floor: positionToProto(j.Floor), Plain: j.Plain, Wrote: j.Wrote,
 		Transaction: j.Tx, Owner: j.Owner, Team: w.Team,
-		AimUs: left(w.AimBy, now), StartUs: left(w.StartBy, now), EndUs: left(w.EndBy, now),
-		FreshUs: left(w.FreshBy, now), AttemptUs: w.AttemptTime.Microseconds(),
+		AimUs: remainingMicros(w.AimBy, now), StartUs: remainingMicros(w.StartBy, now), EndUs: remainingMicros(w.EndBy, now),
+		FreshUs: remainingMicros(w.FreshBy, now), AttemptUs: w.AttemptTime.Microseconds(),
 	}
 }
 
@@ -94,7 +95,7 @@
 	return out
 }
 
-// floorToProto turns when a floor's position was asked for into its age.
+// floorToProto encodes a floor with the age of its position instead of a time.
 func floorToProto(f replicaset.Floor, now time.Duration) *peerpb.Floor {
 	if f.Position.IsZero() {
 		return nil
@@ -105,18 +106,18 @@
 	}
 }
 
-// floorFromProto takes a floor out of the answer to something asked at the
-// given time.
+// floorFromProto decodes a floor from the answer to a request sent at the given
+// time.
 func floorFromProto(p *peerpb.Floor, asked time.Duration) replicaset.Floor {
 	if p == nil {
 		return replicaset.Floor{}
 	}
-	at := logpos.Position{Term: logpos.Term(p.GetTerm()), Offset: logpos.Offset(p.GetOffset())}
+	position := logpos.Position{Term: logpos.Term(p.GetTerm()), Offset: logpos.Offset(p.GetOffset())}
 	lead := replicaset.Lead{Primary: p.GetPrimary(), Term: logpos.Term(p.GetLeadTerm())}
-	return replicaset.HeardFloor(at, lead, time.Duration(p.GetAgeUs())*time.Microsecond, asked)
+	return replicaset.HeardFloor(position, lead, time.Duration(p.GetAgeUs())*time.Microsecond, asked)
 }
 
-// resultFromProto decodes the answer to a job that was sent at the given time.
+// resultFromProto decodes the answer to a job sent at the given time.
 func resultFromProto(p *peerpb.JobResponse, asked time.Duration) replicaset.Result {
 	r := replicaset.Result{
 		Answer: statement.Answer{
--- a/node/peer/gate_convert_test.go
+++ b/node/peer/gate_convert_test.go
@@ -10,20 +10,19 @@
 	"github.com/dotterelswitch/dotterelswitch/node/replicaset"
 )
 
-// TestFloorIsNotMadeYoungerOnItsWay: however long the answer took, the floor
-// claims no more than it did where it was told.
-func TestFloorIsNotMadeYoungerOnItsWay(t *testing.T) {
-	const asked, told, arrived = 10 * time.Second, 11 * time.Second, 12 * time.Second
-	f := replicaset.Floor{Position: logpos.Position{Term: 3, Offset: 7}, Sent: told - 400*time.Millisecond, Lead: replicaset.Lead{Primary: "m", Term: 4}}
-	got := floorFromProto(floorToProto(f, told), asked)
+// However long the answer took, the decoded floor must not cover more recent
+// commits than the encoded one.
+func TestFloorIsNotRejuvenatedInTransit(t *testing.T) {
+	const asked, sent, arrived = 10 * time.Second, 11 * time.Second, 12 * time.Second
+	f := replicaset.Floor{Position: logpos.Position{Term: 3, Offset: 7}, Sent: sent - 400*time.Millisecond, Lead: replicaset.Lead{Primary: "m", Term: 4}}
+	got := floorFromProto(floorToProto(f, sent), asked)
 	require.Equal(t, f.Position, got.Position)
 	require.Equal(t, f.Lead, got.Lead)
 	require.LessOrEqual(t, got.Sent, f.Sent)
 	require.Less(t, got.Sent, arrived)
 }
 
-// TestNoFloorStaysNone: a host that knows no floor tells none.
-func TestNoFloorStaysNone(t *testing.T) {
+func TestMissingFloorIsPreserved(t *testing.T) {
 	require.Nil(t, floorToProto(replicaset.Floor{}, time.Second))
 	require.Zero(t, floorFromProto(nil, time.Second))
 }
--- a/node/peer/gate_dial_test.go
+++ b/node/peer/gate_dial_test.go
@@ -13,11 +13,11 @@
 	"github.com/dotterelswitch/dotterelswitch/node/replicaset"
 )
 
-// TestGatesOutOfReachLeaveTimeForAnotherWay replays a fleet that is cut in two:
-// no gate of a member can be reached, and nothing says so. What was not sent may
-// go elsewhere, and there has to be time for it.
-func TestGatesOutOfReachLeaveTimeForAnotherWay(t *testing.T) {
-	// objective is the latency objective of most callers of the large deployments.
+// Guards against dial timeouts that use up the caller's time when a partition
+// makes all gates of a member unreachable. A statement that was not sent may be
+// retried elsewhere.
+func TestUnreachableGatesLeaveTimeForDirectConnection(t *testing.T) {
+	// objective is a typical latency objective of callers.
 	const objective = 500 * time.Millisecond
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
@@ -27,14 +27,14 @@
 			return nil, &net.OpError{Op: "dial", Err: ctx.Err()}
 		}, "host")
 		defer c.Close()
-		began := time.Now()
+		started := time.Now()
 		for _, address := range []string{"10.0.0.1:1", "10.0.0.2:1", "10.0.0.3:1"} {
 			j := replicaset.Job{Kind: replicaset.JobWrite, Work: replicaset.Work{EndBy: clock.Now() + time.Minute}}
 			res := c.Run(ctx, address, "svc", j)
 			var gate *replicaset.GateError
 			require.ErrorAs(t, res.Err, &gate)
-			require.False(t, gate.Sent, "a write that was not sent may go elsewhere")
+			require.False(t, gate.Sent, "a write that was not sent may be retried elsewhere")
 		}
-		require.Less(t, time.Since(began), objective*4/5)
+		require.Less(t, time.Since(started), objective*4/5)
 	})
 }
--- a/node/peer/open_conns.go
+++ b/node/peer/open_conns.go
@@ -9,9 +9,9 @@
 // dialFunc opens a connection.
 type dialFunc func(ctx context.Context, network, address string) (net.Conn, error)
 
-// openConns knows the connections that stand by the address that was dialled, so
-// that all to one host can be closed. It is safe for concurrent use; its lock is
-// a leaf.
+// openConns tracks open connections by their dialled address, so that all
+// connections to one host can be closed. It is safe for concurrent use. No other
+// lock is acquired while its lock is held.
 type openConns struct {
 	mu        sync.Mutex
 	byAddress map[string]map[*trackedConn]struct{}
@@ -21,34 +21,34 @@
 	return &openConns{byAddress: map[string]map[*trackedConn]struct{}{}}
 }
 
-// trackedConn is a connection that is forgotten when it is closed.
+// trackedConn is a connection that is untracked when it is closed.
 type trackedConn struct {
 	net.Conn
 	address string
-	open    *openConns
+	conns   *openConns
 }
 
 // Close implements net.Conn.
 func (c *trackedConn) Close() error {
-	c.open.forget(c)
+	c.conns.remove(c)
 	return c.Conn.Close()
 }
 
-// tracking returns a dial function whose connections are known until they are
+// track returns a dial function whose connections are tracked until they are
 // closed.
-func (o *openConns) tracking(dial dialFunc) dialFunc {
+func (o *openConns) track(dial dialFunc) dialFunc {
 	return func(ctx context.Context, network, address string) (net.Conn, error) {
 		conn, err := dial(ctx, network, address)
 		if err != nil {
 			return nil, err
 		}
-		tracked := &trackedConn{Conn: conn, address: address, open: o}
-		o.remember(tracked)
+		tracked := &trackedConn{Conn: conn, address: address, conns: o}
+		o.add(tracked)
 		return tracked, nil
 	}
 }
 
-func (o *openConns) remember(c *trackedConn) {
+func (o *openConns) add(c *trackedConn) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if o.byAddress[c.address] == nil {
@@ -57,7 +57,7 @@
 	o.byAddress[c.address][c] = struct{}{}
 }
 
-func (o *openConns) forget(c *trackedConn) {
+func (o *openConns) remove(c *trackedConn) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	delete(o.byAddress[c.address], c)
@@ -75,7 +75,7 @@
 	}
 	o.mu.Unlock()
 	for _, c := range conns {
-		// Its user finds it closed; a failure to close leaves nothing to do.
+		// Users of the connection see it closed; an error needs no handling.
 		_ = c.Close()
 	}
 }
--- a/node/peer/server.go
+++ b/node/peer/server.go
@@ -13,19 +13,19 @@
 	"github.com/dotterelswitch/dotterelswitch/node/request"
 )
 
-// Handler is what a host offers to its peers.
+// Handler implements the calls of other hosts.
 type Handler interface {
 	Execute(ctx context.Context, req *request.Request) *request.Response
 	Release(sender, upstream string, transaction uint64)
 	Cancel(sender string, id uint64)
-	// Config returns what the host has above a version.
+	// Config returns the configuration changes above a version.
 	Config(above uint64) ConfigUpdate
-	// OfferChange takes an accepted change as JSON and returns the version in
-	// force.
+	// OfferChange applies an accepted change, given as JSON, and returns the
+	// current version.
 	OfferChange(change []byte) uint64
 }
 
-// Server serves the protocol between hosts.
+// Server implements the Peer service.
 type Server struct {
 	handler Handler
 }
@@ -37,7 +37,7 @@
 
 var errBadKey = errors.New("the key does not match")
 
-// checkKey refuses calls without the shared key.
+// checkKey rejects calls without the shared key.
 func checkKey(key string) connect.UnaryInterceptorFunc {
 	return func(next connect.UnaryFunc) connect.UnaryFunc {
 		return func(ctx context.Context, req connect.AnyRequest) (connect.AnyResponse, error) {
@@ -49,27 +49,27 @@
 	}
 }
 
-// Execute implements the generated interface.
+// Execute implements peerpbconnect.PeerHandler.
 func (s *Server) Execute(ctx context.Context, req *connect.Request[peerpb.ExecuteRequest]) (*connect.Response[peerpb.ExecuteResponse], error) {
-	// A caller that hangs up must not stop a write half way, so only the
-	// request's own deadline ends it.
+	// A disconnected sender must not interrupt a write, so only the request's own
+	// deadline ends it.
 	resp := s.handler.Execute(context.WithoutCancel(ctx), requestFromProto(req.Msg))
 	return connect.NewResponse(responseToProto(resp)), nil
 }
 
-// Release implements the generated interface.
+// Release implements peerpbconnect.PeerHandler.
 func (s *Server) Release(_ context.Context, req *connect.Request[peerpb.ReleaseRequest]) (*connect.Response[peerpb.ReleaseResponse], error) {
 	s.handler.Release(req.Msg.GetSender(), req.Msg.GetUpstream(), req.Msg.GetTransaction())
 	return connect.NewResponse(&peerpb.ReleaseResponse{}), nil
 }
 
-// Cancel implements the generated interface.
+// Cancel implements peerpbconnect.PeerHandler.
 func (s *Server) Cancel(_ context.Context, req *connect.Request[peerpb.CancelRequest]) (*connect.Response[peerpb.CancelResponse], error) {
 	s.handler.Cancel(req.Msg.GetSender(), req.Msg.GetRequestId())
 	return connect.NewResponse(&peerpb.CancelResponse{}), nil
 }
 
-// FetchConfig implements the generated interface.
+// FetchConfig implements peerpbconnect.PeerHandler.
 func (s *Server) FetchConfig(_ context.Context, req *connect.Request[peerpb.FetchConfigRequest]) (*connect.Response[peerpb.FetchConfigResponse], error) {
 	u := s.handler.Config(req.Msg.GetAboveVersion())
 	return connect.NewResponse(&peerpb.FetchConfigResponse{
@@ -77,7 +77,7 @@
 	}), nil
 }
 
-// OfferChange implements the generated interface.
+// OfferChange implements peerpbconnect.PeerHandler.
 func (s *Server) OfferChange(_ context.Context, req *connect.Request[peerpb.OfferChangeRequest]) (*connect.Response[peerpb.OfferChangeResponse], error) {
 	version := s.handler.OfferChange(req.Msg.GetChange())
 	return connect.NewResponse(&peerpb.OfferChangeResponse{Version: version}), nil
--- a/node/router/send.go
+++ b/node/router/send.go
@@ -47,7 +47,7 @@
 	if errors.Is(ctx.Err(), context.Canceled) {
 		go r.cancel(host, req.ID)
 	} else {
-		r.fleet.CallFailed(host, upstream.Refused(err))
+		r.fleet.CallFailed(host, upstream.RefusedOrReset(err))
 	}
 	return request.Refused(r.callRefusal(err, req))
 }
--- a/node/upstream/conn.go
+++ b/node/upstream/conn.go
@@ -14,20 +14,20 @@
 	"github.com/dotterelswitch/dotterelswitch/node/pgframe"
 )
 
-// positionParameter is the ParameterStatus in which a member reports the
-// position of the last transaction or snapshot.
+// positionParameter is the ParameterStatus in which a member reports the log
+// position of the last commit or snapshot.
 const positionParameter = "group.position"
 
 const readBufferSize = 16 * 1024
 
-// Answer is the whole answer to one request.
+// Answer is the complete answer to one request.
 type Answer struct {
-	// Frames are the member's messages without ReadyForQuery and without
-	// ParameterStatus.
+	// Frames are the member's messages without ReadyForQuery and ParameterStatus.
 	Frames []byte
-	// TxStatus is 'I' outside a transaction, 'T' inside, 'E' in a failed one.
+	// TxStatus is the transaction status of ReadyForQuery: 'I' outside a
+	// transaction, 'T' inside, 'E' in a failed one.
 	TxStatus byte
-	// Position is that of the last commit or snapshot.
+	// Position is the log position of the last commit or snapshot.
 	Position logpos.Position
 	// ErrorCode is the SQLSTATE of the last ErrorResponse, or empty.
 	ErrorCode string
@@ -41,14 +41,14 @@
 	pid    uint32
 	secret []byte
 	limit  int
-	// dirty is set while an answer is outstanding, and for good once one was
-	// not read in full.
+	// dirty is set while an answer is outstanding, and permanently once an answer
+	// was not read in full.
 	dirty bool
 	// inTx is whether the last answer left a transaction open.
 	inTx bool
 }
 
-// Open connects to a member. Answers over limit bytes are refused.
+// Open connects to a member. Answers larger than limit bytes are refused.
 func Open(ctx context.Context, t Target, limit int) (*Conn, error) {
 	pc, err := t.connect(ctx)
 	if err != nil {
@@ -64,16 +64,15 @@
 	}, nil
 }
 
-// Clean reports whether the connection may serve another session: its last
-// answer was read in full, it is outside a transaction, and no byte is waiting.
+// Clean reports whether the connection may serve another session: its last answer
+// was read in full, no transaction is open, and no unread bytes are buffered.
 func (c *Conn) Clean() bool { return !c.dirty && !c.inTx && c.reader.Buffered() == 0 }
 
-// Close drops the connection.
 func (c *Conn) Close() { _ = c.conn.Close() }
 
-// Run sends frames, which end in one Query or Sync, and reads the answer up to
-// ReadyForQuery. When the context ends first, the statement is cancelled and
-// the connection is not usable any more.
+// Run sends frames, which must end in one Query or Sync, and reads the answer up
+// to ReadyForQuery. If the context ends first, the statement is cancelled and the
+// connection is no longer usable.
 func (c *Conn) Run(ctx context.Context, frames []byte) (Answer, error) {
 	c.dirty = true
 	stop := context.AfterFunc(ctx, func() { _ = c.conn.SetDeadline(time.Unix(1, 0)) })
@@ -93,8 +92,8 @@
 		}
 		return Answer{}, c.fail(true, err)
 	}
-	// A context that ended just now may have set the deadline already; the
-	// answer is whole, but the connection goes.
+	// If the context has just ended, its deadline may already be set on the
+	// connection. The answer is complete, but the connection cannot be reused.
 	c.dirty = !stop()
 	c.inTx = a.TxStatus != 'I'
 	return a, nil
@@ -109,7 +108,7 @@
 	for {
 		header, err := c.reader.Peek(pgframe.HeaderSize)
 		if err != nil {
-			return a, unexpected(err)
+			return a, unexpectedEOF(err)
 		}
 		kind := header[0]
 		size := pgframe.Size(header)
@@ -119,13 +118,13 @@
 		start := len(a.Frames)
 		a.Frames = append(a.Frames, make([]byte, size)...)
 		if _, err := io.ReadFull(c.reader, a.Frames[start:]); err != nil {
-			return a, unexpected(err)
+			return a, unexpectedEOF(err)
 		}
 		body := a.Frames[start+pgframe.HeaderSize:]
 		switch kind {
 		case 'Z':
 			if len(body) != 1 {
-				return a, errBadFrame
+				return a, errMalformedMessage
 			}
 			a.TxStatus = body[0]
 			a.Frames = a.Frames[:start]
@@ -143,7 +142,7 @@
 
 var errCopy = errors.New("the upstream asks for COPY data, which pooled connections do not carry")
 
-var errBadFrame = errors.New("malformed message from the upstream")
+var errMalformedMessage = errors.New("malformed message from the upstream")
 
 func (a *Answer) readParameter(body []byte) {
 	var ps pgproto3.ParameterStatus
@@ -162,7 +161,7 @@
 	}
 }
 
-func unexpected(err error) error {
+func unexpectedEOF(err error) error {
 	if errors.Is(err, io.EOF) {
 		return io.ErrUnexpectedEOF
 	}
@@ -172,7 +171,7 @@
 // cancelTimeout bounds the delivery of a cancel request.
 const cancelTimeout = time.Second
 
-// cancel asks the member to stop the running statement.
+// cancel sends a cancel request for the running statement.
 func (c *Conn) cancel() {
 	ctx, done := context.WithTimeout(context.Background(), cancelTimeout)
 	defer done()
--- a/node/upstream/control.go
+++ b/node/upstream/control.go
@@ -15,22 +15,22 @@
 	"github.com/dotterelswitch/dotterelswitch/core/logpos"
 )
 
-// Control is a connection for group functions. It reconnects by itself. Calls
-// are serial; it is safe for concurrent use.
+// Control is a member's control connection, used for group functions and advisory
+// locks. It reconnects automatically and serializes calls. It is safe for
+// concurrent use.
 type Control struct {
 	target Target
 
 	mu   sync.Mutex
 	conn *pgconn.PgConn
-	// generation grows with each new connection. What a connection holds, such
-	// as an advisory lock, is lost when it changes.
+	// generation increases with each new connection. A change means that session
+	// state, such as an advisory lock, is lost.
 	generation uint64
 }
 
 // NewControl returns a control connection that connects on first use.
 func NewControl(t Target) *Control { return &Control{target: t} }
 
-// Close drops the connection.
 func (c *Control) Close() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -43,7 +43,8 @@
 	}
 	conn := c.conn
 	c.conn = nil
-	// A connection that is cut off would make Close wait for its goodbye.
+	// Close sends a Terminate message and would block on a partitioned
+	// connection.
 	go func() {
 		ctx, cancel := context.WithTimeout(context.Background(), cancelTimeout)
 		defer cancel()
@@ -51,15 +52,15 @@
 	}()
 }
 
-// Generation returns the number of the present connection, and false when
-// there is none.
+// Generation returns the number of the current connection, and false if there is
+// none.
 func (c *Control) Generation() (uint64, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.generation, c.conn != nil
 }
 
-// query runs one statement and returns its single row.
+// query runs a statement that returns a single row.
 func (c *Control) query(ctx context.Context, sql string) ([][]byte, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -114,11 +115,11 @@
 	return c.statusQuery(ctx, fmt.Sprintf("SELECT group_follow(%d, %s)", term, Literal(primary)))
 }
 
-// Literal quotes a text as an SQL string. It relies on
+// Literal quotes a string as an SQL literal. It relies on
 // standard_conforming_strings, which is on by default.
 func Literal(s string) string { return "'" + strings.ReplaceAll(s, "'", "''") + "'" }
 
-const statusFields = 11
+const statusColumns = 11
 
 func (c *Control) statusQuery(ctx context.Context, sql string) (group.Status, bool, error) {
 	row, err := c.query(ctx, sql)
@@ -133,26 +134,26 @@
 }
 
 func parseStatus(row [][]byte) (group.Status, bool, error) {
-	if len(row) != statusFields {
+	if len(row) != statusColumns {
 		return group.Status{}, false, errors.New("unexpected number of columns")
 	}
-	claimed, err1 := strconv.ParseUint(string(row[1]), 10, 64)
+	grantedTerm, err1 := strconv.ParseUint(string(row[1]), 10, 64)
 	follows, err2 := strconv.ParseUint(string(row[3]), 10, 64)
 	last, err3 := logpos.Parse(string(row[4]))
 	applied, err4 := logpos.Parse(string(row[5]))
 	history, err5 := logpos.ParseHistory(string(row[6]))
 	acks, err6 := parseAcks(string(row[7]))
-	heard, err7 := strconv.ParseInt(string(row[8]), 10, 64)
+	contactAge, err7 := strconv.ParseInt(string(row[8]), 10, 64)
 	change, err8 := strconv.ParseUint(string(row[9]), 10, 64)
 	st := group.Status{
-		Member: string(row[0]), GrantedTerm: logpos.Term(claimed), Primary: string(row[2]) == "true",
+		Member: string(row[0]), GrantedTerm: logpos.Term(grantedTerm), Primary: string(row[2]) == "true",
 		Follows: logpos.Term(follows), Last: last, Applied: applied, History: history,
-		Acks: acks, Change: change, SincePrimaryContact: time.Duration(heard) * time.Microsecond,
+		Acks: acks, Change: change, SincePrimaryContact: time.Duration(contactAge) * time.Microsecond,
 	}
 	return st, string(row[10]) == "true", errors.Join(err1, err2, err3, err4, err5, err6, err7, err8)
 }
 
-// parseAcks reads "member=term/offset" parts joined by commas.
+// parseAcks parses comma-separated "member=term/offset" entries.
 func parseAcks(text string) ([]group.Ack, error) {
 	if text == "" {
 		return nil, nil
@@ -169,8 +170,8 @@
 	return acks, nil
 }
 
-// TryLock takes the advisory lock that marks the owner of the member's pool,
-// and returns the generation of the connection that holds it.
+// TryLock tries to take the advisory lock that identifies the owner of the
+// member's pool, and returns the generation of the connection that holds it.
 func (c *Control) TryLock(ctx context.Context, key int64) (bool, uint64, error) {
 	row, err := c.query(ctx, fmt.Sprintf("SELECT pg_try_advisory_lock(%d)", key))
 	if err != nil {
@@ -187,7 +188,7 @@
 }
 
 // Terminate ends the connections whose application name begins with prefix,
-// but for those that are called keep.
+// except those whose name is keep.
 func (c *Control) Terminate(ctx context.Context, prefix, keep string) error {
 	_, err := c.query(ctx, fmt.Sprintf("SELECT group_terminate(%s, %s)", Literal(prefix), Literal(keep)))
 	return err
--- a/node/upstream/dialer.go
+++ b/node/upstream/dialer.go
@@ -1,6 +1,6 @@
-// Package upstream speaks to the members of database groups: pooled
-// connections that carry callers' messages unchanged, and control connections
-// for the group functions.
+// Package upstream connects to the members of database groups: pooled connections
+// carry callers' messages unchanged, control connections call the group
+// functions.
 package upstream
 
 import (
@@ -14,7 +14,7 @@
 // DialFunc opens a network connection.
 type DialFunc func(ctx context.Context, network, addr string) (net.Conn, error)
 
-// Target names a member and how to log in to it.
+// Target is the address of a member and the credentials for it.
 type Target struct {
 	Service string
 	Member  string
@@ -22,13 +22,13 @@
 	User    string
 	// Password may be empty. It is never logged.
 	Password string
-	// Application is reported as application_name. It begins with the host's
-	// ID, so that a member can end all connections of a dead host.
+	// Application is sent as application_name. It begins with the host's ID, so
+	// that a member can terminate all connections of a dead host.
 	Application string
 	Dial        DialFunc
 }
 
-// connect logs in to the member.
+// connect opens a connection and authenticates.
 func (t Target) connect(ctx context.Context) (*pgconn.PgConn, error) {
 	cfg, err := pgconn.ParseConfig(fmt.Sprintf("postgres://%s/%s?sslmode=disable", t.Address, t.Service))
 	if err != nil {
--- a/node/upstream/errors.go
+++ b/node/upstream/errors.go
@@ -6,7 +6,7 @@
 	"syscall"
 )
 
-// DialError reports a connection that could not be opened. Nothing was sent.
+// DialError is a failure to open a connection. Nothing was sent.
 type DialError struct {
 	Member string
 	Err    error
@@ -18,11 +18,11 @@
 
 func (e *DialError) Unwrap() error { return e.Err }
 
-// RunError reports a request whose answer did not arrive in full.
+// RunError reports a request whose answer was not read in full.
 type RunError struct {
 	Member string
-	// Sent reports whether any byte of the request may have reached the
-	// member. When false the request certainly did not run.
+	// Sent reports whether any byte of the request may have reached the member.
+	// If it is false, the request did not run.
 	Sent bool
 	Err  error
 }
@@ -33,7 +33,7 @@
 
 func (e *RunError) Unwrap() error { return e.Err }
 
-// ControlError reports a group function that failed.
+// ControlError is the failure of a group function.
 type ControlError struct {
 	Member string
 	Call   string
@@ -46,7 +46,7 @@
 
 func (e *ControlError) Unwrap() error { return e.Err }
 
-// TooLargeError reports an answer over the size limit.
+// TooLargeError reports an answer that exceeds the size limit.
 type TooLargeError struct {
 	Limit int
 }
@@ -55,8 +55,8 @@
 	return fmt.Sprintf("answer exceeds the limit of %d bytes", e.Limit)
 }
 
-// Refused reports whether err says that nothing listens at the address or that
-// the connection was reset, which only a live machine says.
-func Refused(err error) bool {
+// RefusedOrReset reports whether err is a refused or reset connection, which
+// proves that the member's machine is up.
+func RefusedOrReset(err error) bool {
 	return errors.Is(err, syscall.ECONNREFUSED) || errors.Is(err, syscall.ECONNRESET)
 }
--- a/node/watch/perform.go
+++ b/node/watch/perform.go
@@ -61,7 +61,7 @@
 	w.busy[member] = false
 	w.mu.Unlock()
 	if err != nil {
-		w.failed(ctx, member, sent, upstream.Refused(err))
+		w.failed(ctx, member, sent, upstream.RefusedOrReset(err))
 		return
 	}
 	w.update(ctx, func(now time.Duration) []group.Action { return w.ctl.OnStatus(st, sent, now) })
