--- a/node/cmd/dotterelswitch/main.go
+++ b/node/cmd/dotterelswitch/main.go
@@ -60,7 +60,7 @@
 	}
 	select {
 	case <-ctx.Done():
-	case err := <-h.Failed():
+	case err := <-h.GatewayDone():
 		return err
 	}
 	drain, cancel := context.WithTimeout(context.Background(), s.DrainTimeout)
--- a/node/demo/demo.go
+++ b/node/demo/demo.go
@@ -161,7 +161,7 @@
 	for {
 		ready, owned := 0, 0
 		for _, h := range d.hosts {
-			if h.host.Ready() && h.host.Known() == len(d.hosts) {
+			if h.host.Ready() && h.host.KnownHosts() == len(d.hosts) {
 				ready++
 			}
 			owned += len(h.host.Owned())
--- a/node/host/config_sync.go
+++ b/node/host/config_sync.go
@@ -15,29 +15,30 @@
 )
 
 const (
-	// relaysPerZone is how many hosts of each availability zone watch the
-	// platform. The others learn of changes from their peers.
+	// relaysPerZone is the number of hosts in each availability zone that watch
+	// the platform. The others receive changes from their peers.
 	relaysPerZone = 2
-	// watchWait is how long one watch waits. Each watch counts as a call.
-	watchWait = 30 * time.Second
-	// listInterval is how often a relay reads lists of hosts, and
-	// otherZonesListed how many of other zones each time.
+	// watchTimeout is the duration of one blocking query of the platform.
+	watchTimeout = 30 * time.Second
+	// listInterval is the base interval at which a relay reads host lists.
 	listInterval = 30 * time.Second
-	// hostsPerListInterval lengthens the interval with the fleet, because the
-	// lists grow with it.
-	hostsPerListInterval = 100
-	otherZonesListed     = 3
-	// earlyLists is how many times every host reads lists after its start, and
-	// earlyListInterval how often.
-	earlyLists        = 3
-	earlyListInterval = 2 * time.Second
-	// roleInterval is how often a host checks whether it is a relay.
-	roleInterval = time.Second
-	// retryInterval spaces calls to a platform that fails.
+	// hostsPerExtraInterval lengthens the interval by listInterval for every so
+	// many hosts, because the lists grow with the fleet. otherZonesPerRead is
+	// the number of other zones whose lists are read each time.
+	hostsPerExtraInterval = 100
+	otherZonesPerRead     = 3
+	// initialListReads is the number of times that every host reads host lists
+	// after its start, at initialListInterval.
+	initialListReads    = 3
+	initialListInterval = 2 * time.Second
+	// relayCheckInterval is the interval at which a host checks whether it is a
+	// relay.
+	relayCheckInterval = time.Second
+	// retryInterval is the delay before a failed platform call is retried.
 	retryInterval = time.Second
 )
 
-// isRelay reports whether this host watches the platform for its zone.
+// isRelay reports whether this host is a relay of its zone.
 func (h *Host) isRelay() bool {
 	ranked := membership.Ranked("relay", h.fleet.Placement().Zone(h.self.Zone))
 	for i := range min(relaysPerZone, len(ranked)) {
@@ -48,39 +49,40 @@
 	return false
 }
 
-// watchConfig follows the log of changes while this host is a relay, and reads
-// it once at the start.
+// watchConfig reads the log of changes once at the start and then follows it
+// while this host is a relay.
 func (h *Host) watchConfig(ctx context.Context) {
 	var index uint64
 	for ctx.Err() == nil {
 		if index != 0 && !h.isRelay() {
-			clock.Sleep(ctx, roleInterval)
+			clock.Sleep(ctx, relayCheckInterval)
 			continue
 		}
-		head, next, err := h.config.WatchHead(ctx, index, watchWait)
-		h.notePlatform(err)
-		if err == nil && next == index {
-			h.config.Repair(ctx, head.Version+1)
+		head, nextIndex, err := h.config.WatchHead(ctx, index, watchTimeout)
+		h.recordPlatformResult(err)
+		if err == nil && nextIndex == index {
+			h.config.RepairHead(ctx, head.Version+1)
 		}
-		if err == nil && next != 0 {
+		if err == nil && nextIndex != 0 {
 			err = h.catchUp(ctx, head)
 		}
-		if err != nil || next == 0 {
+		if err != nil || nextIndex == 0 {
 			clock.Sleep(ctx, retryInterval)
 			continue
 		}
-		index = next
+		index = nextIndex
 	}
 }
 
-// catchUp brings this host up to the head of the log.
+// catchUp applies the log up to its head, starting from the snapshot if the
+// changes before it may have been trimmed.
 func (h *Host) catchUp(ctx context.Context, head confstore.Head) error {
 	for {
-		have := h.fleet.Config().Version
-		if have >= head.Version {
+		current := h.fleet.Config().Version
+		if current >= head.Version {
 			return nil
 		}
-		if have < head.Snapshot {
+		if current < head.Snapshot {
 			cfg, err := h.config.Snapshot(ctx, head)
 			if err == nil {
 				err = h.fleet.offerSnapshot(cfg)
@@ -90,12 +92,12 @@
 			}
 			continue
 		}
-		ch, found, err := h.config.Change(ctx, have+1)
+		ch, found, err := h.config.Change(ctx, current+1)
 		if err != nil {
 			return err
 		}
 		if !found {
-			return &confstore.DamagedError{Key: "change", Err: errMissingChange}
+			return &confstore.CorruptValueError{Key: "change", Err: errMissingChange}
 		}
 		if err := h.fleet.offerChange(ch); err != nil {
 			return err
@@ -103,66 +105,68 @@
 	}
 }
 
-var errMissingChange = errors.New("a change below the head is missing")
+var errMissingChange = errors.New("change below the head of the log is missing")
 
-// watchList reads the platform's list often after the start, to meet the
-// fleet, and then rarely, while a relay: gossip carries everything else.
-func (h *Host) watchList(ctx context.Context) {
+// syncHostList reads the platform's host lists frequently after the start, to
+// discover peers, and afterwards at a long interval and only on relays, because
+// gossip propagates all further changes.
+func (h *Host) syncHostList(ctx context.Context) {
 	for round := 0; ctx.Err() == nil; round++ {
-		early := round < earlyLists
-		if early || h.isRelay() {
-			h.readLists(ctx, round)
+		initial := round < initialListReads
+		if initial || h.isRelay() {
+			h.fetchHostLists(ctx, round)
 		}
-		if early {
-			clock.Sleep(ctx, earlyListInterval)
+		if initial {
+			clock.Sleep(ctx, initialListInterval)
 		} else {
-			clock.Sleep(ctx, listInterval*time.Duration(1+h.Known()/hostsPerListInterval))
+			clock.Sleep(ctx, listInterval*time.Duration(1+h.KnownHosts()/hostsPerExtraInterval))
 		}
 	}
 }
 
-// readLists reads the list of this host's zone and, in turn, of some others,
-// so that zones find each other again after a long separation.
-func (h *Host) readLists(ctx context.Context, round int) {
+// fetchHostLists reads the host list of this host's zone and, in rotation, those
+// of other zones, so that zones rejoin after a long partition.
+func (h *Host) fetchHostLists(ctx context.Context, round int) {
 	zones := []string{h.self.Zone}
-	all := h.fleet.Config().Zones
-	for i := range min(otherZonesListed, len(all)) {
-		zones = append(zones, all[(round*otherZonesListed+i)%len(all)].Name)
+	allZones := h.fleet.Config().Zones
+	for i := range min(otherZonesPerRead, len(allZones)) {
+		zones = append(zones, allZones[(round*otherZonesPerRead+i)%len(allZones)].Name)
 	}
 	for _, zone := range zones {
 		hosts, err := h.platform.Hosts(ctx, zone)
-		h.notePlatform(err)
+		h.recordPlatformResult(err)
 		if err != nil {
 			return
 		}
-		h.fleet.update(func(r *membership.Roster, now time.Duration) { r.MergeList(hosts, now) })
+		h.fleet.updateRoster(func(r *membership.Roster, now time.Duration) { r.MergeList(hosts, now) })
 	}
 }
 
-// pullConfig takes what another host has above this one's version.
+// pullConfig fetches and applies the configuration that another host has above
+// this host's version.
 func (h *Host) pullConfig(ctx context.Context, from membership.Host) {
-	u, err := h.peers.FetchConfig(ctx, from.Peer, h.fleet.Config().Version)
+	update, err := h.peers.FetchConfig(ctx, from.Peer, h.fleet.Config().Version)
 	if err != nil {
 		return
 	}
-	if len(u.Snapshot) > 0 {
+	if len(update.Snapshot) > 0 {
 		var cfg conf.Config
-		if err := json.Unmarshal(u.Snapshot, &cfg); err != nil {
+		if err := json.Unmarshal(update.Snapshot, &cfg); err != nil {
 			eventlog.ConfigRejected.Error(h.log).Err(err).Send()
 			return
 		}
 		_ = h.fleet.offerSnapshot(&cfg)
 	}
-	for _, data := range u.Changes {
-		if !h.takeChange(data) {
+	for _, data := range update.Changes {
+		if !h.applyChangeJSON(data) {
 			return
 		}
 	}
 }
 
-// takeChange puts a change in force, given as JSON; it reports whether that or
-// a newer version is in force now.
-func (h *Host) takeChange(data []byte) bool {
+// applyChangeJSON puts a JSON-encoded change in force. It reports whether this
+// or a newer version is in force afterwards.
+func (h *Host) applyChangeJSON(data []byte) bool {
 	var ch conf.Change
 	if err := json.Unmarshal(data, &ch); err != nil {
 		eventlog.ConfigRejected.Error(h.log).Err(err).Send()
@@ -171,31 +175,32 @@
 	return h.fleet.offerChange(ch) == nil
 }
 
-// OfferChange implements peer.Handler. Gossip takes the change from here to all
-// other hosts.
+// OfferChange implements peer.Handler. Gossip propagates the change to the other
+// hosts.
 func (h *Host) OfferChange(change []byte) uint64 {
-	h.takeChange(change)
+	h.applyChangeJSON(change)
 	return h.ConfigVersion()
 }
 
 // Config implements peer.Handler.
 func (h *Host) Config(above uint64) peer.ConfigUpdate {
-	changes, complete, cfg := h.fleet.since(above)
-	u := peer.ConfigUpdate{Version: cfg.Version}
+	changes, complete, cfg := h.fleet.changesSince(above)
+	update := peer.ConfigUpdate{Version: cfg.Version}
 	if !complete {
-		// Plain data always encodes.
-		u.Snapshot, _ = json.Marshal(cfg)
-		return u
+		// Encoding cannot fail for these types.
+		update.Snapshot, _ = json.Marshal(cfg)
+		return update
 	}
 	for _, ch := range changes {
 		data, _ := json.Marshal(ch)
-		u.Changes = append(u.Changes, data)
+		update.Changes = append(update.Changes, data)
 	}
-	return u
+	return update
 }
 
-// notePlatform logs when the platform is lost and found.
-func (h *Host) notePlatform(err error) {
+// recordPlatformResult logs when the platform becomes unreachable or reachable
+// again.
+func (h *Host) recordPlatformResult(err error) {
 	if h.ctx.Err() != nil {
 		return
 	}
--- a/node/host/config_test.go
+++ b/node/host/config_test.go
@@ -15,28 +15,27 @@
 	"github.com/dotterelswitch/dotterelswitch/node/peer"
 )
 
-// BenchmarkConfigInForce measures how long an accepted change takes to be in
-// force on all of eight hosts, mean and worst of the iterations, with the
-// platform up, slow, and out right after acceptance while the operator's tool
-// tells one host.
+// BenchmarkConfigInForce measures the time from acceptance of a change until it is
+// in force on all eight hosts, with the platform available, slow, or unavailable
+// after acceptance; in the last case the change is offered to one host directly.
 func BenchmarkConfigInForce(b *testing.B) {
 	for _, tc := range []struct {
-		name string
-		slow time.Duration
-		out  bool
-	}{{"up", 0, false}, {"slow", 300 * time.Millisecond, false}, {"out-after-acceptance", 0, true}} {
+		name    string
+		latency time.Duration
+		outage  bool
+	}{{"up", 0, false}, {"slow", 300 * time.Millisecond, false}, {"outage-after-acceptance", 0, true}} {
 		b.Run(tc.name, func(b *testing.B) {
 			d := deploy(b, 8, nil)
 			defer d.kill()
-			store := confstore.New(consul.NewClient(d.dep.Platform.Addr(), (&net.Dialer{}).DialContext))
+			store := confstore.New(consul.NewClient(d.env.Platform.Addr(), (&net.Dialer{}).DialContext))
 			var worst, sum time.Duration
 			n := 0
 			for b.Loop() {
-				d.dep.Platform.SetSlow(tc.slow)
-				took := d.changeAndWait(b, store, n, tc.out)
+				d.env.Platform.SetSlow(tc.latency)
+				elapsed := d.changeAndWait(b, store, n, tc.outage)
 				n++
-				sum += took
-				worst = max(worst, took)
+				sum += elapsed
+				worst = max(worst, elapsed)
 			}
 			b.ReportMetric(float64(sum.Milliseconds())/float64(n), "mean-ms")
 			b.ReportMetric(float64(worst.Milliseconds()), "worst-ms")
@@ -44,16 +43,16 @@
 	}
 }
 
-func (d *deployment) changeAndWait(b *testing.B, store *confstore.Store, i int, out bool) time.Duration {
+func (d *deployment) changeAndWait(b *testing.B, store *confstore.Store, i int, outage bool) time.Duration {
 	ch, err := store.Submit(b.Context(), fmt.Sprintf("bench-%d", i), func(*conf.Config) (conf.Items, conf.Names, error) {
 		return conf.Items{Teams: []conf.Team{{Name: "bench", Weight: float64(i + 1)}}}, conf.Names{}, nil
 	})
 	require.NoError(b, err)
 	accepted := time.Now()
-	if out {
-		d.dep.Platform.SetOutage(true)
-		defer d.dep.Platform.SetOutage(false)
-		d.tell(b, i%len(d.hosts), ch)
+	if outage {
+		d.env.Platform.SetOutage(true)
+		defer d.env.Platform.SetOutage(false)
+		d.offerChange(b, i%len(d.hosts), ch)
 	}
 	require.Eventually(b, func() bool {
 		for _, h := range d.hosts {
@@ -66,8 +65,8 @@
 	return time.Since(accepted)
 }
 
-// tell offers an accepted change to one host, as the operator's tool does.
-func (d *deployment) tell(t testing.TB, i int, ch conf.Change) {
+// offerChange offers an accepted change to one host, as dotterelctl does.
+func (d *deployment) offerChange(t testing.TB, i int, ch conf.Change) {
 	t.Helper()
 	data, err := json.Marshal(ch)
 	require.NoError(t, err)
@@ -77,19 +76,19 @@
 	require.GreaterOrEqual(t, version, ch.Version)
 }
 
-// TestChangeSpreadsWithThePlatformOut accepts a change, takes the platform away
-// and tells one host: all hosts get the change, and none goes back.
-func TestChangeSpreadsWithThePlatformOut(t *testing.T) {
+// TestChangePropagatesDuringPlatformOutage guards against an accepted change that
+// is offered to one host but does not reach the others without the platform.
+func TestChangePropagatesDuringPlatformOutage(t *testing.T) {
 	d := deploy(t, 5, nil)
 	defer d.kill()
-	store := confstore.New(consul.NewClient(d.dep.Platform.Addr(), (&net.Dialer{}).DialContext))
+	store := confstore.New(consul.NewClient(d.env.Platform.Addr(), (&net.Dialer{}).DialContext))
 	ch, err := store.Submit(t.Context(), "one", func(*conf.Config) (conf.Items, conf.Names, error) {
 		return conf.Items{Teams: []conf.Team{{Name: "late", Weight: 3}}}, conf.Names{}, nil
 	})
 	require.NoError(t, err)
-	d.dep.Platform.SetOutage(true)
-	d.tell(t, 4, ch)
-	d.tell(t, 4, ch)
+	d.env.Platform.SetOutage(true)
+	d.offerChange(t, 4, ch)
+	d.offerChange(t, 4, ch)
 	for _, h := range d.hosts {
 		require.Eventually(t, func() bool { return h.ConfigVersion() == ch.Version }, testTimeout, time.Millisecond)
 	}
--- a/node/host/credential_test.go
+++ b/node/host/credential_test.go
@@ -16,7 +16,7 @@
 	"github.com/dotterelswitch/dotterelswitch/node/consul"
 )
 
-// connectWith opens a session of a team with a key as its password.
+// connectWith opens a session as a team with an API key as password.
 func (d *deployment) connectWith(team, key string) (*pgx.Conn, error) {
 	cfg, err := pgx.ParseConfig(fmt.Sprintf("postgres://%s:%s@%s/%s?sslmode=disable", team, key, d.addrs[0], testService))
 	require.NoError(d.t, err)
@@ -25,10 +25,10 @@
 	return pgx.ConnectConfig(ctx, cfg)
 }
 
-// declare puts teams in force on all hosts.
-func (d *deployment) declare(id string, teams ...conf.Team) {
+// submitTeams submits teams and waits until they are in force on all hosts.
+func (d *deployment) submitTeams(id string, teams ...conf.Team) {
 	d.t.Helper()
-	store := confstore.New(consul.NewClient(d.dep.Platform.Addr(), (&net.Dialer{}).DialContext))
+	store := confstore.New(consul.NewClient(d.env.Platform.Addr(), (&net.Dialer{}).DialContext))
 	ch, err := store.Submit(d.t.Context(), id, func(*conf.Config) (conf.Items, conf.Names, error) {
 		return conf.Items{Teams: teams}, conf.Names{}, nil
 	})
@@ -38,17 +38,17 @@
 	}
 }
 
-// TestTeamsProveThemselvesWithAKey: where a team has keys, nobody is served without
-// one, a team is not served on another's, and a key that was taken away ends the
-// sessions that it has opened at their next statement.
-func TestTeamsProveThemselvesWithAKey(t *testing.T) {
+// TestTeamAuthenticatesWithKey guards against serving a team with keys on a
+// missing key or on another team's, and against sessions that outlive the
+// revocation of their key.
+func TestTeamAuthenticatesWithKey(t *testing.T) {
 	d := deploy(t, 2, nil)
 	defer d.kill()
 	digest := func(key string) []string { return []string{catalog.NewCredential(key).String()} }
-	d.declare("keys", conf.Team{Name: "schools", Credentials: digest("s-key")}, conf.Team{Name: "clubs", Credentials: digest("c-key")})
-	for _, wrong := range [][2]string{{"schools", "c-key"}, {"schools", ""}, {"colleges", "s-key"}} {
-		_, err := d.connectWith(wrong[0], wrong[1])
-		requireState(t, err, "28P01")
+	d.submitTeams("keys", conf.Team{Name: "schools", Credentials: digest("s-key")}, conf.Team{Name: "clubs", Credentials: digest("c-key")})
+	for _, login := range [][2]string{{"schools", "c-key"}, {"schools", ""}, {"colleges", "s-key"}} {
+		_, err := d.connectWith(login[0], login[1])
+		requireSQLState(t, err, "28P01")
 		require.NotContains(t, err.Error(), "c-key")
 	}
 	conn, err := d.connectWith("schools", "s-key")
@@ -57,11 +57,11 @@
 	_, err = conn.Exec(t.Context(), insertReading, "keyed", "x")
 	require.NoError(t, err)
 
-	d.declare("taken away", conf.Team{Name: "schools", Credentials: digest("next-key")})
+	d.submitTeams("revoke-key", conf.Team{Name: "schools", Credentials: digest("next-key")})
 	_, err = conn.Exec(t.Context(), insertReading, "keyed", "y")
 	require.Error(t, err)
-	again, err := d.connectWith("schools", "next-key")
+	reconnected, err := d.connectWith("schools", "next-key")
 	require.NoError(t, err)
-	defer func() { _ = again.Close(context.Background()) }()
-	require.Equal(t, []string{"x"}, values(t, again, "keyed"), "nothing ran on the key that was taken away")
+	defer func() { _ = reconnected.Close(context.Background()) }()
+	require.Equal(t, []string{"x"}, values(t, reconnected, "keyed"), "nothing ran on the revoked key")
 }
--- a/node/host/deployment_test.go
+++ b/node/host/deployment_test.go
@@ -24,10 +24,10 @@
 	testTimeout = 30 * time.Second
 )
 
-// deployment is the archive without latencies, and some hosts.
+// deployment is the archive workload without latencies, with some hosts.
 type deployment struct {
 	t     testing.TB
-	dep   *workload.Deployment
+	env   *workload.Deployment
 	hosts []*host.Host
 	addrs []string
 	peers []string
@@ -38,16 +38,16 @@
 	spec, err := workload.Get("archive")
 	require.NoError(t, err)
 	spec.Latency, spec.Services, spec.Member.ConnectCost = netem.Latency{}, 1, 0
-	dep, err := workload.Deploy(spec)
+	env, err := workload.Deploy(spec)
 	require.NoError(t, err)
-	t.Cleanup(dep.Close)
-	require.NoError(t, demo.Publish(t.Context(), dep.Platform.Addr(), dep.Items()))
-	d := &deployment{t: t, dep: dep}
+	t.Cleanup(env.Close)
+	require.NoError(t, demo.Publish(t.Context(), env.Platform.Addr(), env.Items()))
+	d := &deployment{t: t, env: env}
 	for i := range hosts {
 		s := settings.Default()
-		s.ID, s.Zone, s.Platform, s.PeerKey = fmt.Sprintf("host-%d", i), spec.Zone(i), dep.Platform.Addr(), "test"
-		for _, target := range []*string{&s.Listen, &s.Peer, &s.Metrics} {
-			*target, err = loopback.FreeAddress()
+		s.ID, s.Zone, s.Platform, s.PeerKey = fmt.Sprintf("host-%d", i), spec.Zone(i), env.Platform.Addr(), "test"
+		for _, address := range []*string{&s.Listen, &s.Peer, &s.Metrics} {
+			*address, err = loopback.FreeAddress()
 			require.NoError(t, err)
 		}
 		if change != nil {
@@ -65,12 +65,12 @@
 	require.Eventually(d.t, func() bool {
 		owned := 0
 		for _, h := range d.hosts {
-			if !h.Ready() || h.Known() != len(d.hosts) {
+			if !h.Ready() || h.KnownHosts() != len(d.hosts) {
 				return false
 			}
 			owned += len(h.Owned())
 		}
-		return owned == len(d.dep.Spec.Zones)
+		return owned == len(d.env.Spec.Zones)
 	}, testTimeout, 10*time.Millisecond)
 }
 
@@ -80,7 +80,7 @@
 	}
 }
 
-// connect opens a session on a host, with start-up parameters.
+// connect opens a session on host i with start-up parameters.
 func (d *deployment) connect(i int, params map[string]string) *pgx.Conn {
 	d.t.Helper()
 	cfg, err := pgx.ParseConfig(fmt.Sprintf("postgres://schools@%s/%s?sslmode=disable", d.addrs[i], testService))
@@ -105,10 +105,10 @@
 	return got
 }
 
-// requireState checks the SQLSTATE of an error.
-func requireState(t *testing.T, err error, state string) {
+// requireSQLState checks the SQLSTATE of an error.
+func requireSQLState(t *testing.T, err error, code string) {
 	t.Helper()
 	var pgErr *pgconn.PgError
 	require.ErrorAs(t, err, &pgErr)
-	require.Equal(t, state, pgErr.Code, pgErr.Message)
+	require.Equal(t, code, pgErr.Code, pgErr.Message)
 }
--- a/node/host/events.go
+++ b/node/host/events.go
@@ -8,25 +8,25 @@
 	"github.com/dotterelswitch/dotterelswitch/node/eventlog"
 )
 
-// prepareAhead is how long before a declared start connections are opened. It
-// is well above the time that all of them take, at 10 to 30 ms each.
-const prepareAhead = time.Minute
+// prepareLeadTime is how long before the start of an event its connections are
+// opened. It exceeds the time that opening all of them takes.
+const prepareLeadTime = time.Minute
 
-// prepareEvents opens connections for the events that start soon, once for
-// each event.
+// prepareEvents opens connections for events that start within prepareLeadTime,
+// once per start of an event.
 func (h *Host) prepareEvents(ctx context.Context, cfg *conf.Config, now time.Time) {
 	for _, e := range cfg.Events {
 		key := eventKey{name: e.Name, start: e.Start.UnixNano()}
-		if now.Before(e.Start.Add(-prepareAhead)) || now.After(e.Start) || h.prepared[key] {
+		if now.Before(e.Start.Add(-prepareLeadTime)) || now.After(e.Start) || h.preparedEvents[key] {
 			continue
 		}
-		h.prepared[key] = true
+		h.preparedEvents[key] = true
 		eventlog.EventPrepared.Info(h.log).Str("event_name", e.Name).Time("start", e.Start).Send()
 		go h.owner.Prepare(ctx, e.Services)
 	}
 }
 
-// eventKey names one start of an event.
+// eventKey identifies one start of an event; start is in Unix nanoseconds.
 type eventKey struct {
 	name  string
 	start int64
--- a/node/host/fleet.go
+++ b/node/host/fleet.go
@@ -11,82 +11,83 @@
 	"github.com/dotterelswitch/dotterelswitch/node/eventlog"
 )
 
-// fleet is the shared table of hosts and configuration. It is safe for
-// concurrent use; its lock is never held while calling out.
+// fleet holds the known hosts and the configuration in force. It is safe for
+// concurrent use; the lock is never held during I/O.
 type fleet struct {
-	origin time.Time
-	log    zerolog.Logger
-
-	mu      sync.Mutex
-	roster  *membership.Roster
-	serving []membership.Host
-	placed  *membership.Placement
-	seen    uint64
-	tracker *conf.Tracker
-	changed chan struct{}
+	startedAt time.Time
+	log       zerolog.Logger
+
+	mu               sync.Mutex
+	roster           *membership.Roster
+	serving          []membership.Host
+	cachedPlacement  *membership.Placement
+	rosterGeneration uint64
+	tracker          *conf.Tracker
+	changed          chan struct{}
 }
 
 func newFleet(self membership.Host, timing membership.Timing, log zerolog.Logger) *fleet {
 	f := &fleet{
-		origin: time.Now(), log: log, tracker: conf.NewTracker(), changed: make(chan struct{}, 1),
+		startedAt: time.Now(), log: log, tracker: conf.NewTracker(), changed: make(chan struct{}, 1),
 		roster: membership.NewRoster(self, timing, membership.Score("roster", self.ID)),
 	}
-	f.refresh()
+	f.refreshServing()
 	return f
 }
 
-func (f *fleet) now() time.Duration { return time.Since(f.origin) }
+func (f *fleet) now() time.Duration { return time.Since(f.startedAt) }
 
-// update changes the roster and notes whether the hosts that serve changed.
-func (f *fleet) update(change func(r *membership.Roster, now time.Duration)) {
+// updateRoster runs change on the roster and refreshes the serving hosts.
+func (f *fleet) updateRoster(change func(r *membership.Roster, now time.Duration)) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	change(f.roster, f.now())
-	f.refresh()
+	f.refreshServing()
 }
 
-// refresh needs mu held.
-func (f *fleet) refresh() {
-	if g := f.roster.Generation(); g != f.seen || f.serving == nil {
-		f.seen = g
-		f.serving, f.placed = f.roster.Serving(), nil
-		f.signal()
+// refreshServing updates the cached serving hosts if the roster has changed. The
+// caller must hold mu.
+func (f *fleet) refreshServing() {
+	if g := f.roster.Generation(); g != f.rosterGeneration || f.serving == nil {
+		f.rosterGeneration = g
+		f.serving, f.cachedPlacement = f.roster.Serving(), nil
+		f.notifyChanged()
 	}
 }
 
-func (f *fleet) signal() {
+func (f *fleet) notifyChanged() {
 	select {
 	case f.changed <- struct{}{}:
 	default:
 	}
 }
 
-// Placement implements router.Fleet. A drained host is left out.
+// Placement implements router.Fleet. Draining hosts are excluded.
 func (f *fleet) Placement() *membership.Placement {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.placement()
 }
 
-// placement needs mu held. The placement is kept until the hosts that serve
-// or the drains change.
+// placement returns the placement, which is cached until the serving hosts or the
+// configuration change. The caller must hold mu.
 func (f *fleet) placement() *membership.Placement {
-	if f.placed == nil {
+	if f.cachedPlacement == nil {
 		cfg := f.tracker.Current()
-		kept := make([]membership.Host, 0, len(f.serving))
+		active := make([]membership.Host, 0, len(f.serving))
 		for _, h := range f.serving {
 			if !cfg.Draining(conf.DrainHost, h.ID) {
-				kept = append(kept, h)
+				active = append(active, h)
 			}
 		}
-		f.placed = membership.NewPlacement(kept)
+		f.cachedPlacement = membership.NewPlacement(active)
 	}
-	return f.placed
+	return f.cachedPlacement
 }
 
 // CallFailed implements router.Fleet.
 func (f *fleet) CallFailed(h membership.Host, refused bool) {
-	f.update(func(r *membership.Roster, now time.Duration) {
+	f.updateRoster(func(r *membership.Roster, now time.Duration) {
 		if refused {
 			r.ProbeRefused(h.ID, h.Incarnation, now)
 		} else {
@@ -102,45 +103,45 @@
 	return f.tracker.Current()
 }
 
-// offerChange puts a change in force if it is next and valid.
+// offerChange puts a change in force if it is valid and the next version.
 func (f *fleet) offerChange(ch conf.Change) error {
-	return f.offer(func(t *conf.Tracker) (bool, error) { return t.OfferChange(ch) })
+	return f.offerToTracker(func(t *conf.Tracker) (bool, error) { return t.OfferChange(ch) })
 }
 
-// offerSnapshot puts a whole configuration in force if it is newer and valid.
+// offerSnapshot puts a configuration in force if it is valid and newer.
 func (f *fleet) offerSnapshot(cfg *conf.Config) error {
-	return f.offer(func(t *conf.Tracker) (bool, error) { return t.OfferSnapshot(cfg) })
+	return f.offerToTracker(func(t *conf.Tracker) (bool, error) { return t.OfferSnapshot(cfg) })
 }
 
-func (f *fleet) offer(take func(*conf.Tracker) (bool, error)) error {
+func (f *fleet) offerToTracker(apply func(*conf.Tracker) (bool, error)) error {
 	f.mu.Lock()
-	moved, err := take(f.tracker)
+	updated, err := apply(f.tracker)
 	cfg := f.tracker.Current()
-	if moved {
-		f.placed = nil
-		f.signal()
+	if updated {
+		f.cachedPlacement = nil
+		f.notifyChanged()
 	}
 	f.mu.Unlock()
 	switch {
 	case err != nil:
 		eventlog.ConfigRejected.Error(f.log).Err(err).Send()
-	case moved:
+	case updated:
 		eventlog.ConfigInForce.Info(f.log).Uint64("version", cfg.Version).Str("change", cfg.ChangeID).Send()
 	}
 	return err
 }
 
-// since returns the changes above a version, or false when a snapshot is
-// needed, with the configuration in force.
-func (f *fleet) since(version uint64) ([]conf.Change, bool, *conf.Config) {
+// changesSince returns the changes above a version and the configuration in
+// force. It returns false if the changes are incomplete and a snapshot is needed.
+func (f *fleet) changesSince(version uint64) ([]conf.Change, bool, *conf.Config) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	changes, complete := f.tracker.Since(version)
 	return changes, complete, f.tracker.Current()
 }
 
-// snapshot returns the configuration, the placement and the hosts believed
-// dead.
+// snapshot returns the configuration, the placement and the dead hosts, all from
+// the same moment.
 func (f *fleet) snapshot() (*conf.Config, *membership.Placement, []membership.Host) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/node/host/gossip.go
+++ b/node/host/gossip.go
@@ -11,64 +11,65 @@
 )
 
 const (
-	// pingTimeout bounds one exchange between hosts.
-	pingTimeout = 400 * time.Millisecond
-	// fetchTimeout bounds the fetch of a configuration from a peer.
+	// probeTimeout bounds one probe and its answer.
+	probeTimeout = 400 * time.Millisecond
+	// fetchTimeout bounds fetching the configuration from a peer.
 	fetchTimeout = 5 * time.Second
 )
 
-// probeHosts probes other hosts until the context ends.
+// probeHosts periodically probes one other host until ctx is done.
 func (h *Host) probeHosts(ctx context.Context) {
 	for ctx.Err() == nil {
 		var target membership.Host
 		found := false
-		h.fleet.update(func(r *membership.Roster, now time.Duration) {
+		h.fleet.updateRoster(func(r *membership.Roster, now time.Duration) {
 			r.Tick(now)
 			target, found = r.NextProbe()
 		})
 		if found {
-			go h.ping(ctx, target)
+			go h.probe(ctx, target)
 		}
-		clock.Sleep(ctx, h.timing.ProbePeriodFor(h.Known()))
+		clock.Sleep(ctx, h.timing.ProbePeriodFor(h.KnownHosts()))
 	}
 }
 
-// ping exchanges membership with one host.
-func (h *Host) ping(ctx context.Context, target membership.Host) {
-	ctx, cancel := context.WithTimeout(ctx, pingTimeout)
+// probe exchanges membership with one host.
+func (h *Host) probe(ctx context.Context, target membership.Host) {
+	ctx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
-	answer, err := h.gossip.Probe(ctx, target.Peer, h.outgoing(target))
+	answer, err := h.gossip.Probe(ctx, target.Peer, h.buildMessage(target))
 	if h.ctx.Err() != nil {
 		return
 	}
 	if err != nil {
-		h.noteFailure(target, err)
+		h.recordProbeFailure(target, err)
 		return
 	}
-	h.learn(answer)
+	h.mergeMessage(answer)
 }
 
-// outgoing returns what this host tells another. It says what it believes of
-// the other, so that the other can refute it.
-func (h *Host) outgoing(target membership.Host) gossip.Message {
+// buildMessage returns the gossip message for a host. If that host is not
+// considered alive here, the message includes its state, so that it can refute
+// it.
+func (h *Host) buildMessage(target membership.Host) gossip.Message {
 	m := gossip.Message{ConfigVersion: h.fleet.Config().Version}
-	h.fleet.update(func(r *membership.Roster, _ time.Duration) {
+	h.fleet.updateRoster(func(r *membership.Roster, _ time.Duration) {
 		m.Self = r.Self()
 		m.Rumours = r.TakeRumours()
-		if believed, found := r.Host(target.ID); found && believed.State != membership.Alive {
-			m.Rumours = append([]membership.Host{believed}, m.Rumours...)
+		if record, found := r.Host(target.ID); found && record.State != membership.Alive {
+			m.Rumours = append([]membership.Host{record}, m.Rumours...)
 		}
 	})
 	return m
 }
 
-// learn takes what another host told, and fetches its configuration if that is
-// newer.
-func (h *Host) learn(m gossip.Message) {
-	h.fleet.update(func(r *membership.Roster, now time.Duration) {
+// mergeMessage merges a received message into the roster, and fetches the
+// sender's configuration if it is newer.
+func (h *Host) mergeMessage(m gossip.Message) {
+	h.fleet.updateRoster(func(r *membership.Roster, now time.Duration) {
 		r.ConfirmAlive(m.Self, now)
-		for _, x := range m.Rumours {
-			r.Merge(x, now)
+		for _, rumour := range m.Rumours {
+			r.Merge(rumour, now)
 		}
 	})
 	if m.ConfigVersion > h.fleet.Config().Version {
@@ -80,13 +81,13 @@
 	}
 }
 
-// answerProbe answers another host's probe.
+// answerProbe handles a probe of another host. It is a gossip.Handler.
 func (h *Host) answerProbe(m gossip.Message) gossip.Message {
-	h.learn(m)
-	return h.outgoing(m.Self)
+	h.mergeMessage(m)
+	return h.buildMessage(m.Self)
 }
 
-func (h *Host) noteFailure(target membership.Host, err error) {
-	h.fleet.CallFailed(target, gossip.Refused(err))
+func (h *Host) recordProbeFailure(target membership.Host, err error) {
+	h.fleet.CallFailed(target, gossip.IsConnRefused(err))
 	eventlog.PeerCallFailed.Debug(h.log).Err(err).Str("host", target.ID).Send()
 }
--- a/node/host/helpers_test.go
+++ b/node/host/helpers_test.go
@@ -12,7 +12,7 @@
 
 func asError[T any](err error, target *T) bool { return errors.As(err, target) }
 
-// forgedToken is well formed but far ahead of everything that exists.
+// forgedToken returns a valid token with a position far ahead of the log.
 func forgedToken(t *testing.T) string {
 	t.Helper()
 	tok, err := token.Token{}.Advance(testService, logpos.Position{Term: 1, Offset: 1 << 40})
--- a/node/host/host.go
+++ b/node/host/host.go
@@ -1,5 +1,6 @@
-// Package host assembles one entry host: the gateway for callers, the router,
-// the pools of the members it owns, and its part in the fleet.
+// Package host assembles an entry host from its components: the gateway for
+// callers, the router, the pools of the members it owns, gossip, and the
+// synchronization of the configuration.
 package host
 
 import (
@@ -31,24 +32,24 @@
 	"github.com/dotterelswitch/dotterelswitch/node/upstream"
 )
 
-// Options are what the process around a host provides.
+// Options configures a host.
 type Options struct {
 	Settings settings.Settings
-	// Dial opens connections to upstreams, peers and the platform. Nil means
-	// the system's network.
+	// Dial opens connections to upstreams, peers and the platform. Nil selects
+	// net.Dialer.
 	Dial func(ctx context.Context, network, addr string) (net.Conn, error)
-	// ListenPacket opens the socket for datagrams between hosts. Nil means the
-	// system's network.
+	// ListenPacket opens the UDP socket for gossip. Nil selects
+	// net.ListenPacket.
 	ListenPacket func(address string) (net.PacketConn, error)
 	Log          zerolog.Logger
 }
 
-// traffic counts the bytes of a host's own connections.
-type traffic struct {
+// trafficCounters counts the bytes of a host's connections by destination.
+type trafficCounters struct {
 	peers, platform, control netcount.Counter
 }
 
-// Host is one running entry host.
+// Host is a running entry host.
 type Host struct {
 	opts     Options
 	log      zerolog.Logger
@@ -69,18 +70,18 @@
 	cancel       context.CancelFunc
 	wg           sync.WaitGroup
 	platformDown atomic.Bool
-	ended        chan error
-	// failed names the dead hosts whose calls were ended; it belongs to the
-	// goroutine that reconciles.
-	failed map[string]bool
-	// prepared names the events whose connections were opened; it belongs to
-	// the same goroutine.
-	prepared map[eventKey]bool
-	bytes    traffic
+	gatewayDone  chan error
+	// failedPeers holds the sender names of the dead hosts whose calls were
+	// failed. Only the reconcile goroutine uses it.
+	failedPeers map[string]bool
+	// preparedEvents holds the events whose connections were opened. Only the
+	// reconcile goroutine uses it.
+	preparedEvents map[eventKey]bool
+	traffic        trafficCounters
 }
 
-// Start runs a host. It returns once the listeners accept and, if the platform
-// or a peer can be reached, a configuration is in force.
+// Start starts a host. It returns once the listeners accept connections; use
+// Ready to learn whether a configuration is in force.
 func Start(opts Options) (*Host, error) {
 	if opts.Dial == nil {
 		opts.Dial = (&net.Dialer{}).DialContext
@@ -91,18 +92,18 @@
 	s := opts.Settings
 	self := membership.Host{ID: s.ID, Zone: s.Zone, Peer: s.Peer, Incarnation: uint64(time.Now().UnixMicro())}
 	h := &Host{
-		opts: opts, self: self, timing: membership.DefaultTiming(), ended: make(chan error, 1), prepared: make(map[eventKey]bool),
+		opts: opts, self: self, timing: membership.DefaultTiming(), gatewayDone: make(chan error, 1), preparedEvents: make(map[eventKey]bool),
 		log: opts.Log.With().Str("host", s.ID).Str("zone", s.Zone).Logger(),
 	}
 	h.ctx, h.cancel = context.WithCancel(context.Background())
 	h.fleet = newFleet(self, h.timing, h.log)
-	h.peers = peer.NewClient(h.bytes.peers.Wrap(opts.Dial), s.PeerKey)
-	h.platform = consul.NewClient(s.Platform, h.bytes.platform.Wrap(opts.Dial))
+	h.peers = peer.NewClient(h.traffic.peers.Wrap(opts.Dial), s.PeerKey)
+	h.platform = consul.NewClient(s.Platform, h.traffic.platform.Wrap(opts.Dial))
 	h.config = confstore.New(h.platform)
 	h.metrics = metrics.New(s.MaxTeamsShown)
 	h.owner = owner.New(owner.Config{
 		Host: self, User: s.UpstreamUser, Password: s.UpstreamPassword, Dial: opts.Dial,
-		ControlDial: upstream.DialFunc(h.bytes.control.Wrap(opts.Dial)), Pace: group.DefaultHeartbeatBudget(),
+		ControlDial: upstream.DialFunc(h.traffic.control.Wrap(opts.Dial)), Pace: group.DefaultHeartbeatBudget(),
 		AnswerLimit: s.MaxAnswer, Timing: group.DefaultTiming(), DrainFor: s.DrainTimeout, Log: h.log,
 	})
 	h.router = router.New(self, owner.SenderName(self), h.fleet, h.owner, h.peers, h.log)
@@ -118,31 +119,31 @@
 	return h, h.startGateway()
 }
 
-// listen opens the listeners for peers and metrics.
+// listen opens the gossip socket and the HTTP listeners for peers and metrics.
 func (h *Host) listen() error {
-	packets, err := h.opts.ListenPacket(h.opts.Settings.Peer)
+	packetConn, err := h.opts.ListenPacket(h.opts.Settings.Peer)
 	if err != nil {
 		return err
 	}
-	h.gossip = gossip.NewTransport(packets, h.opts.Settings.PeerKey, h.answerProbe)
-	mux := http.NewServeMux()
-	mux.Handle(peer.NewServer(h, h.opts.Settings.PeerKey))
+	h.gossip = gossip.NewTransport(packetConn, h.opts.Settings.PeerKey, h.answerProbe)
+	peerMux := http.NewServeMux()
+	peerMux.Handle(peer.NewServer(h, h.opts.Settings.PeerKey))
 	protocols := new(http.Protocols)
 	protocols.SetUnencryptedHTTP2(true)
 	protocols.SetHTTP1(true)
-	if err := h.serve(h.opts.Settings.Peer, &http.Server{Handler: mux, Protocols: protocols}); err != nil {
+	if err := h.serve(h.opts.Settings.Peer, &http.Server{Handler: peerMux, Protocols: protocols}); err != nil {
 		return err
 	}
-	text := http.NewServeMux()
-	text.Handle("GET /metrics", h.metrics.Handler())
+	metricsMux := http.NewServeMux()
+	metricsMux.Handle("GET /metrics", h.metrics.Handler())
 	if h.opts.Settings.Profile {
-		text.HandleFunc("GET /debug/pprof/profile", pprof.Profile)
-		text.HandleFunc("GET /debug/pprof/", pprof.Index)
+		metricsMux.HandleFunc("GET /debug/pprof/profile", pprof.Profile)
+		metricsMux.HandleFunc("GET /debug/pprof/", pprof.Index)
 	}
-	return h.serve(h.opts.Settings.Metrics, &http.Server{Handler: text})
+	return h.serve(h.opts.Settings.Metrics, &http.Server{Handler: metricsMux})
 }
 
-// headerTimeout bounds how long a peer or operator may take for its headers.
+// headerTimeout bounds the time in which an HTTP client must send its headers.
 const headerTimeout = 5 * time.Second
 
 func (h *Host) serve(address string, s *http.Server) error {
@@ -156,16 +157,17 @@
 	return nil
 }
 
-// run starts the host's background work.
+// run starts the background goroutines.
 func (h *Host) run() {
 	h.wg.Go(func() { h.probeHosts(h.ctx) })
 	h.wg.Go(func() { h.watchConfig(h.ctx) })
-	h.wg.Go(func() { h.watchList(h.ctx) })
+	h.wg.Go(func() { h.syncHostList(h.ctx) })
 	h.wg.Go(func() { h.reconcile(h.ctx) })
 	h.wg.Go(func() { h.register(h.ctx) })
 }
 
-// register puts the host on the platform's list, trying until it succeeds.
+// register adds the host to the platform's host list and retries until it
+// succeeds.
 func (h *Host) register(ctx context.Context) {
 	for ctx.Err() == nil {
 		err := h.platform.Register(ctx, h.self)
@@ -176,20 +178,20 @@
 	}
 }
 
-// reconcileInterval is how often pools are checked without a change.
+// reconcileInterval is the interval between reconciliations without a change.
 const reconcileInterval = time.Second
 
-// reconcile keeps the pools in step with the fleet and the configuration.
+// reconcile adjusts the pools to the hosts and the configuration.
 func (h *Host) reconcile(ctx context.Context) {
-	tick := time.NewTicker(reconcileInterval)
-	defer tick.Stop()
+	ticker := time.NewTicker(reconcileInterval)
+	defer ticker.Stop()
 	for {
 		cfg, placement, dead := h.fleet.snapshot()
 		h.failCalls(dead)
 		h.owner.Reconcile(cfg, placement, dead)
 		select {
 		case <-h.fleet.changed:
-		case <-tick.C:
+		case <-ticker.C:
 			h.reportGauges()
 			h.prepareEvents(ctx, h.fleet.Config(), time.Now())
 		case <-ctx.Done():
@@ -198,17 +200,17 @@
 	}
 }
 
-// failCalls ends the calls to hosts that have just been found dead.
+// failCalls fails the pending calls to hosts that were newly declared dead.
 func (h *Host) failCalls(dead []membership.Host) {
-	now := make(map[string]bool, len(dead))
-	for _, x := range dead {
-		now[owner.SenderName(x)] = true
-		if !h.failed[owner.SenderName(x)] {
-			eventlog.HostStateChanged.Warn(h.log).Str("peer", x.ID).Stringer("state", x.State).Send()
-			h.peers.Fail(x.Peer)
+	deadNames := make(map[string]bool, len(dead))
+	for _, deadHost := range dead {
+		deadNames[owner.SenderName(deadHost)] = true
+		if !h.failedPeers[owner.SenderName(deadHost)] {
+			eventlog.HostStateChanged.Warn(h.log).Str("peer", deadHost.ID).Stringer("state", deadHost.State).Send()
+			h.peers.Fail(deadHost.Peer)
 		}
 	}
-	h.failed = now
+	h.failedPeers = deadNames
 }
 
 func (h *Host) reportGauges() {
@@ -216,9 +218,9 @@
 	h.metrics.Gauge("hosts", float64(len(h.fleet.Placement().Hosts())))
 	h.metrics.Gauge("pools", float64(len(h.owner.Owned())))
 	h.metrics.Gauge("gossip_bytes", float64(h.gossip.Bytes()))
-	h.metrics.Gauge("peer_bytes", float64(h.bytes.peers.Total()))
-	h.metrics.Gauge("platform_bytes", float64(h.bytes.platform.Total()))
-	h.metrics.Gauge("control_bytes", float64(h.bytes.control.Total()))
+	h.metrics.Gauge("peer_bytes", float64(h.traffic.peers.Total()))
+	h.metrics.Gauge("platform_bytes", float64(h.traffic.platform.Total()))
+	h.metrics.Gauge("control_bytes", float64(h.traffic.control.Total()))
 	h.metrics.Gauge("config_version", float64(h.fleet.Config().Version))
 }
 
@@ -238,18 +240,18 @@
 
 func (h *Host) startGateway() error {
 	s := h.opts.Settings
-	go func() { h.ended <- h.gateway.Run() }()
+	go func() { h.gatewayDone <- h.gateway.Run() }()
 	select {
 	case <-h.gateway.Booted():
-	case err := <-h.ended:
+	case err := <-h.gatewayDone:
 		return err
 	}
 	eventlog.Started.Info(h.log).Str("listen", s.Listen).Str("peer", s.Peer).Send()
 	return nil
 }
 
-// Failed reports the error that ended the gateway by itself.
-func (h *Host) Failed() <-chan error { return h.ended }
+// GatewayDone receives the result of the gateway when it stops.
+func (h *Host) GatewayDone() <-chan error { return h.gatewayDone }
 
 // Execute implements peer.Handler.
 func (h *Host) Execute(ctx context.Context, req *request.Request) *request.Response {
@@ -265,10 +267,11 @@
 // Ready reports whether a configuration is in force.
 func (h *Host) Ready() bool { return h.fleet.Config().Version > 0 }
 
-// Known returns how many hosts this one believes to serve, itself included.
-func (h *Host) Known() int { return len(h.fleet.Placement().Hosts()) }
+// KnownHosts returns the number of serving hosts known to this one, itself
+// included and drained hosts excluded.
+func (h *Host) KnownHosts() int { return len(h.fleet.Placement().Hosts()) }
 
-// ConfigVersion returns the version of the configuration in force here.
+// ConfigVersion returns the version of the configuration in force on this host.
 func (h *Host) ConfigVersion() uint64 { return h.fleet.Config().Version }
 
 // Owned returns the members whose pools this host serves.
--- a/node/host/session_test.go
+++ b/node/host/session_test.go
@@ -21,23 +21,23 @@
 
 const insertReading = "INSERT INTO readings (subject, value) VALUES ($1, $2)"
 
-// TestSessions drives one small deployment through what callers do.
+// TestSessions runs the session features that callers use against one deployment.
 func TestSessions(t *testing.T) {
 	d := deploy(t, 3, nil)
 	defer d.kill()
-	t.Run("read your writes on any host", func(t *testing.T) { testRoaming(t, d) })
-	t.Run("prepared statements", func(t *testing.T) { testPrepared(t, d) })
+	t.Run("read your writes on any host", func(t *testing.T) { testReadYourWritesAcrossHosts(t, d) })
+	t.Run("prepared statements", func(t *testing.T) { testPreparedStatements(t, d) })
 	t.Run("transactions", func(t *testing.T) { testTransactions(t, d) })
-	t.Run("idempotency keys", func(t *testing.T) { testKeys(t, d) })
+	t.Run("idempotency keys", func(t *testing.T) { testIdempotencyKeys(t, d) })
 	t.Run("refusals", func(t *testing.T) { testRefusals(t, d) })
 	t.Run("tokens", func(t *testing.T) { testTokens(t, d) })
 	t.Run("cancel", func(t *testing.T) { testCancel(t, d) })
-	t.Run("ended sessions leave nothing behind", func(t *testing.T) { testNoLeak(t, d) })
-	t.Run("stalled replication", func(t *testing.T) { testStall(t, d) })
-	t.Run("malformed messages", func(t *testing.T) { testMalformed(t, d) })
+	t.Run("ended sessions leak no goroutines", func(t *testing.T) { testNoGoroutineLeak(t, d) })
+	t.Run("stalled replication", func(t *testing.T) { testStalledReplication(t, d) })
+	t.Run("malformed messages", func(t *testing.T) { testMalformedMessages(t, d) })
 }
 
-func testRoaming(t *testing.T, d *deployment) {
+func testReadYourWritesAcrossHosts(t *testing.T, d *deployment) {
 	token := ""
 	for i := range 9 {
 		conn := d.connect(i%3, map[string]string{"dotterelswitch.token": token, "dotterelswitch.class": "lightcurve"})
@@ -49,7 +49,7 @@
 	}
 }
 
-func testPrepared(t *testing.T, d *deployment) {
+func testPreparedStatements(t *testing.T, d *deployment) {
 	conn := d.connect(0, nil)
 	_, err := conn.Prepare(t.Context(), "by_subject", "SELECT value FROM readings WHERE subject = $1")
 	require.NoError(t, err)
@@ -78,8 +78,8 @@
 	require.NoError(t, err)
 	_, err = tx.Exec(t.Context(), insertReading, "tx", "kept")
 	require.NoError(t, err)
-	require.Equal(t, []string{"kept"}, values(t, conn, "tx"), "a transaction sees its own rows")
-	require.Empty(t, values(t, d.connect(2, nil), "tx"), "nobody else does")
+	require.Equal(t, []string{"kept"}, values(t, conn, "tx"), "a transaction sees its own writes")
+	require.Empty(t, values(t, d.connect(2, nil), "tx"), "uncommitted rows are not visible to other sessions")
 	require.NoError(t, tx.Commit(t.Context()))
 	require.Equal(t, []string{"kept"}, values(t, d.connect(2, nil), "tx"))
 
@@ -88,14 +88,14 @@
 	_, err = tx.Exec(t.Context(), insertReading, "tx", "dropped")
 	require.NoError(t, err)
 	_, err = tx.Exec(t.Context(), "nonsense")
-	requireState(t, err, "42601")
+	requireSQLState(t, err, "42601")
 	_, err = tx.Exec(t.Context(), insertReading, "tx", "dropped too")
-	requireState(t, err, "25P02")
+	requireSQLState(t, err, "25P02")
 	require.NoError(t, tx.Rollback(t.Context()))
 	require.Equal(t, []string{"kept"}, values(t, conn, "tx"))
 }
 
-func testKeys(t *testing.T, d *deployment) {
+func testIdempotencyKeys(t *testing.T, d *deployment) {
 	key, err := uuid.NewV7()
 	require.NoError(t, err)
 	hint := "/* dotterelswitch: key=" + key.String() + " */ "
@@ -107,12 +107,12 @@
 	conn := d.connect(0, nil)
 	require.Equal(t, []string{"once"}, values(t, conn, "keyed"))
 	_, err = conn.Exec(t.Context(), hint+insertReading, "keyed", "another request")
-	requireState(t, err, "23505")
-	old := "01890000-0000-7000-8000-000000000000" // of June 2023
-	_, err = conn.Exec(t.Context(), "/* dotterelswitch: key="+old+" */ "+insertReading, "keyed", "too late")
-	requireState(t, err, "22008")
+	requireSQLState(t, err, "23505")
+	expiredKey := "01890000-0000-7000-8000-000000000000" // a UUIDv7 with a timestamp in June 2023
+	_, err = conn.Exec(t.Context(), "/* dotterelswitch: key="+expiredKey+" */ "+insertReading, "keyed", "too late")
+	requireSQLState(t, err, "22008")
 	_, err = conn.Exec(t.Context(), "/* dotterelswitch: key=abc */ "+insertReading, "keyed", "no key")
-	requireState(t, err, "08P01")
+	requireSQLState(t, err, "08P01")
 	require.Equal(t, []string{"once"}, values(t, conn, "keyed"))
 }
 
@@ -120,33 +120,33 @@
 	conn := d.connect(0, nil)
 	for _, sql := range []string{"LISTEN a", "CREATE TEMP TABLE a (b int)", "SELECT pg_advisory_lock(1)", "COPY readings FROM STDIN", "SET search_path = x"} {
 		_, err := conn.Exec(t.Context(), sql)
-		requireState(t, err, "0A000")
+		requireSQLState(t, err, "0A000")
 	}
 	_, err := conn.Exec(t.Context(), "SET dotterelswitch.class = 'nonesuch'")
-	requireState(t, err, "08P01")
+	requireSQLState(t, err, "08P01")
 	_, err = conn.Exec(t.Context(), "SET statement_timeout = 'soon'")
-	requireState(t, err, "08P01")
+	requireSQLState(t, err, "08P01")
 	var team string
 	require.NoError(t, conn.QueryRow(t.Context(), "SHOW dotterelswitch.team", pgx.QueryExecModeSimpleProtocol).Scan(&team))
 	require.Equal(t, "schools", team)
 	cfg := conn.Config().Copy()
 	cfg.Database = "nonesuch"
 	_, err = pgx.ConnectConfig(t.Context(), cfg)
-	requireState(t, err, "3D000")
+	requireSQLState(t, err, "3D000")
 }
 
 func testTokens(t *testing.T, d *deployment) {
 	conn := d.connect(0, nil)
 	_, err := conn.Exec(t.Context(), "SET dotterelswitch.token = 'rubbish'")
-	requireState(t, err, "22P02")
-	// A token far past everything that exists is an error, not a wait.
+	requireSQLState(t, err, "22P02")
+	// A position ahead of the log is an error; the read must not wait for it.
 	forged := forgedToken(t)
 	_, err = conn.Exec(t.Context(), "SET dotterelswitch.token = '"+forged+"'")
 	require.NoError(t, err)
 	ctx, cancel := context.WithTimeout(t.Context(), testTimeout)
 	defer cancel()
 	_, err = conn.Exec(ctx, "SELECT value FROM readings WHERE subject = 'x'")
-	requireState(t, err, "22023")
+	requireSQLState(t, err, "22023")
 }
 
 func testCancel(t *testing.T, d *deployment) {
@@ -156,15 +156,16 @@
 		time.AfterFunc(100*time.Millisecond, func() { _ = conn.PgConn().CancelRequest(context.Background()) })
 		_, err := conn.Exec(ctx, "/* read */ SELECT pg_sleep(60)")
 		cancel()
-		requireState(t, err, "57014")
-		require.Empty(t, values(t, conn, "nothing"), "the session goes on")
+		requireSQLState(t, err, "57014")
+		require.Empty(t, values(t, conn, "nothing"), "the session must remain usable")
 	}
 }
 
-// testMalformed sends rubbish on raw connections; others are not disturbed.
-func testMalformed(t *testing.T, d *deployment) {
+// testMalformedMessages guards against malformed start-up messages that keep their
+// connection open or disturb other sessions.
+func testMalformedMessages(t *testing.T, d *deployment) {
 	other := d.connect(0, nil)
-	for name, bytes := range map[string][]byte{
+	for name, data := range map[string][]byte{
 		"a length that is too small":  {0, 0, 0, 1},
 		"a start-up that is too long": {0x7f, 0, 0, 0, 0, 3, 0, 0},
 		"an unknown version":          {0, 0, 0, 8, 0, 9, 0, 0},
@@ -173,7 +174,7 @@
 	} {
 		c, err := net.Dial("tcp", d.addrs[0])
 		require.NoError(t, err)
-		_, err = c.Write(bytes)
+		_, err = c.Write(data)
 		require.NoError(t, err)
 		require.NoError(t, c.SetReadDeadline(time.Now().Add(testTimeout)))
 		buf := make([]byte, 4096)
@@ -189,11 +190,10 @@
 	require.Empty(t, values(t, other, "undisturbed"))
 }
 
-// testNoLeak opens and ends many sessions, some in a transaction, and expects
-// the goroutines to be as few as before. The callers say goodbye and wait, so
-// that the host is the first to close.
-func testNoLeak(t *testing.T, d *deployment) {
-	const sessions, slack = 150, 40
+// testNoGoroutineLeak guards against goroutines that outlive their session. The
+// callers send Terminate and wait, so that the host closes the connection first.
+func testNoGoroutineLeak(t *testing.T, d *deployment) {
+	const sessions, tolerance = 150, 40
 	before := runtime.NumGoroutine()
 	for i := range sessions {
 		conn := d.connect(i%3, nil)
@@ -203,26 +203,26 @@
 		}
 		raw, err := conn.PgConn().Hijack()
 		require.NoError(t, err)
-		goodbye, err := (&pgproto3.Terminate{}).Encode(nil)
+		terminate, err := (&pgproto3.Terminate{}).Encode(nil)
 		require.NoError(t, err)
-		_, err = raw.Conn.Write(goodbye)
+		_, err = raw.Conn.Write(terminate)
 		require.NoError(t, err)
 		_, err = raw.Conn.Read(make([]byte, 1))
 		require.ErrorIs(t, err, io.EOF)
 		require.NoError(t, raw.Conn.Close())
 	}
-	require.Eventually(t, func() bool { return runtime.NumGoroutine() < before+slack }, testTimeout, 10*time.Millisecond)
+	require.Eventually(t, func() bool { return runtime.NumGoroutine() < before+tolerance }, testTimeout, 10*time.Millisecond)
 }
 
-// testStall stops replication: writes that ran stay unknown, and once too many
-// wait the next ones are refused as not run. What was refused is not there.
-func testStall(t *testing.T, d *deployment) {
-	members := d.dep.Groups[0].Members()
+// testStalledReplication guards against acknowledging writes while replication is
+// stalled, and against executing writes that were refused as not run.
+func testStalledReplication(t *testing.T, d *deployment) {
+	members := d.env.Groups[0].Members()
 	for _, m := range members {
 		m.Stall(true)
 	}
 	const writers = 90
-	states := make([]string, writers)
+	codes := make([]string, writers)
 	var wg sync.WaitGroup
 	for i := range writers {
 		conn := d.connect(i%3, nil)
@@ -234,7 +234,7 @@
 			}
 			var pgErr *pgconn.PgError
 			if errors.As(err, &pgErr) {
-				states[i] = pgErr.Code
+				codes[i] = pgErr.Code
 			}
 		})
 	}
@@ -242,12 +242,12 @@
 	for _, m := range members {
 		m.Stall(false)
 	}
-	require.Contains(t, states, "08007")
-	require.Contains(t, states, "57P05")
-	require.NotContains(t, states, "", "no write may be acknowledged")
+	require.Contains(t, codes, "08007")
+	require.Contains(t, codes, "57P05")
+	require.NotContains(t, codes, "", "no write may be acknowledged")
 	stored := values(t, d.connect(0, nil), "stall")
-	for i, state := range states {
-		if state == "57P05" {
+	for i, code := range codes {
+		if code == "57P05" {
 			require.NotContains(t, stored, strconv.Itoa(i), "refused as not run, but it ran")
 		}
 	}
--- a/node/host/stop.go
+++ b/node/host/stop.go
@@ -9,16 +9,17 @@
 	"github.com/dotterelswitch/dotterelswitch/node/eventlog"
 )
 
-// announceTime is how long a stopping host goes on serving after it has said
-// that it leaves, so that its peers send it no more work.
-const announceTime = 500 * time.Millisecond
+// leaveGracePeriod is how long a stopping host continues to serve after it has
+// announced that it leaves, until its peers stop sending it requests.
+const leaveGracePeriod = 500 * time.Millisecond
 
-// Stop ends the host in order: it tells peers and platform that it leaves,
-// closes callers as they become idle, hands its pools over, and stops. What
-// still runs when the context ends is cut; it reports whether nothing was.
+// Stop shuts the host down gracefully: it announces to peers and platform that it
+// leaves, closes callers' connections as they become idle, hands over its pools,
+// and stops. Work that is still running when ctx is done is aborted; Stop reports
+// whether all callers' connections were drained before.
 func (h *Host) Stop(ctx context.Context) bool {
 	eventlog.Stopping.Info(h.log).Send()
-	h.announce(ctx)
+	h.announceLeaving(ctx)
 	clean := h.gateway.Drain(ctx)
 	h.owner.Stop(ctx)
 	if !clean || ctx.Err() != nil {
@@ -29,31 +30,32 @@
 	return clean
 }
 
-// announce tells every reachable host and the platform that this one leaves.
-func (h *Host) announce(ctx context.Context) {
-	var others []membership.Host
-	h.fleet.update(func(r *membership.Roster, now time.Duration) {
+// announceLeaving notifies all reachable hosts and the platform that this host
+// leaves, and waits for leaveGracePeriod.
+func (h *Host) announceLeaving(ctx context.Context) {
+	var reachable []membership.Host
+	h.fleet.updateRoster(func(r *membership.Roster, now time.Duration) {
 		r.Leave(now)
-		others = r.Reachable()
+		reachable = r.Reachable()
 	})
-	for _, x := range others {
-		if x.ID != h.self.ID {
-			go h.ping(ctx, x)
+	for _, other := range reachable {
+		if other.ID != h.self.ID {
+			go h.probe(ctx, other)
 		}
 	}
 	leaving := h.self
 	leaving.State = membership.Leaving
-	bounded, cancel := context.WithTimeout(ctx, announceTime)
+	leaveCtx, cancel := context.WithTimeout(ctx, leaveGracePeriod)
 	defer cancel()
-	_ = h.platform.Register(bounded, leaving)
-	_ = h.platform.Deregister(bounded, h.self.ID)
-	clock.Sleep(ctx, announceTime)
+	_ = h.platform.Register(leaveCtx, leaving)
+	_ = h.platform.Deregister(leaveCtx, h.self.ID)
+	clock.Sleep(ctx, leaveGracePeriod)
 }
 
-// Kill ends the host at once, as a crash does.
+// Kill stops the host immediately, without draining, as a crash would.
 func (h *Host) Kill() { h.close() }
 
-// closeTimeout bounds the end of the gateway's event loops.
+// closeTimeout bounds stopping the gateway's event loops.
 const closeTimeout = time.Second
 
 func (h *Host) close() {
@@ -65,9 +67,9 @@
 	}
 	h.gossip.Close()
 	_ = h.gateway.Stop(ctx)
-	ended, cancelEnded := context.WithCancel(context.Background())
-	cancelEnded()
-	h.owner.Stop(ended)
+	expired, cancelExpired := context.WithCancel(context.Background())
+	cancelExpired()
+	h.owner.Stop(expired)
 	h.peers.Close()
 	h.metrics.Close()
 	h.wg.Wait()
