--- a/node/confstore/snapshot.go
+++ b/node/confstore/snapshot.go
@@ -7,10 +7,10 @@
 	"github.com/dotterelswitch/dotterelswitch/core/conf"
 )
 
-// writeSnapshot stores a configuration in parts and returns their number. The
-// parts' keys name the version, so that writing them twice does no harm.
+// writeSnapshot stores a configuration in parts and returns their number. It is
+// idempotent, because the keys of the parts contain the version.
 func (s *Store) writeSnapshot(ctx context.Context, cfg *conf.Config) (int, error) {
-	parts, err := split(cfg)
+	parts, err := splitSnapshot(cfg)
 	if err != nil {
 		return 0, err
 	}
@@ -22,16 +22,17 @@
 	return len(parts), nil
 }
 
-// split cuts a configuration into JSON parts of at most about maxPart bytes.
-// Services are what grows; the rest goes into the first part.
-func split(cfg *conf.Config) ([][]byte, error) {
-	first := *cfg
-	first.Services = nil
-	head, err := json.Marshal(first)
+// splitSnapshot encodes a configuration as JSON parts of about maxPartBytes at
+// most. Only services are split; everything else is in the first part, since its
+// size does not grow with the number of services.
+func splitSnapshot(cfg *conf.Config) ([][]byte, error) {
+	base := *cfg
+	base.Services = nil
+	baseData, err := json.Marshal(base)
 	if err != nil {
 		return nil, err
 	}
-	parts := [][]byte{head}
+	parts := [][]byte{baseData}
 	part := conf.Config{Version: cfg.Version, ChangeID: cfg.ChangeID}
 	size := 0
 	flush := func() error {
@@ -41,17 +42,17 @@
 		return err
 	}
 	for _, svc := range cfg.Services {
-		one, err := json.Marshal(svc)
+		encoded, err := json.Marshal(svc)
 		if err != nil {
 			return nil, err
 		}
-		if size+len(one) > maxPart && size > 0 {
+		if size+len(encoded) > maxPartBytes && size > 0 {
 			if err := flush(); err != nil {
 				return nil, err
 			}
 		}
 		part.Services = append(part.Services, svc)
-		size += len(one) + 1
+		size += len(encoded) + 1
 	}
 	if size > 0 {
 		if err := flush(); err != nil {
@@ -61,7 +62,7 @@
 	return parts, nil
 }
 
-// appendPart joins a part to what was read before it.
+// appendPart appends a part to the configuration read so far.
 func appendPart(cfg *conf.Config, part conf.Config) *conf.Config {
 	services := append(cfg.Services, part.Services...)
 	if cfg.Version == 0 {
--- a/node/confstore/store.go
+++ b/node/confstore/store.go
@@ -1,8 +1,8 @@
-// Package confstore keeps the configuration in the platform's key-value
-// service as a log of changes. A change is accepted by creating its numbered
-// key with compare-and-swap, so of two operators exactly one wins each number,
-// and an answer that was lost is settled by reading the key back. Snapshots
-// bound the log; they are split so that no value nears the service's limit.
+// Package confstore keeps the configuration in the platform's key-value store as
+// a log of changes. A change is accepted by creating the key of its version with
+// compare-and-swap, so each version is assigned once, and a lost answer is
+// resolved by reading the key back. Snapshots bound the length of the log; they
+// are split into parts to stay below the store's value size limit.
 package confstore
 
 import (
@@ -18,31 +18,31 @@
 const (
 	prefix  = "dotterelswitch/config/"
 	headKey = prefix + "head"
-	// snapshotEvery is how many changes lie between snapshots.
-	snapshotEvery = 64
-	// maxPart is the largest part of a snapshot, in bytes; the service takes
-	// values of up to 1 MiB.
-	maxPart = 512 * 1024
+	// changesPerSnapshot is the number of changes between snapshots.
+	changesPerSnapshot = 64
+	// maxPartBytes bounds a part of a snapshot; the store accepts values of up
+	// to 1 MiB.
+	maxPartBytes = 512 * 1024
 )
 
-// Head says where the log stands. It may lag behind the log: a change exists
-// once its own key does.
+// Head holds the newest version of the log and its snapshots. It may lag behind
+// the log: a change is accepted once its own key exists.
 type Head struct {
 	Version  uint64 `json:"version"`
 	Snapshot uint64 `json:"snapshot"`
 	Parts    int    `json:"parts"`
-	// Previous is the snapshot before, which readers of an older head may
-	// still be reading.
+	// Previous is the preceding snapshot, which is kept for readers of an older
+	// head.
 	Previous      uint64 `json:"previous"`
 	PreviousParts int    `json:"previous_parts"`
 }
 
-// Store is the configuration in the platform's service.
+// Store reads and changes the configuration in the platform's key-value store.
 type Store struct {
 	kv consul.Store
 }
 
-// New returns the configuration kept in kv.
+// New returns a Store backed by kv.
 func New(kv consul.Store) *Store { return &Store{kv: kv} }
 
 func changeKey(version uint64) string { return fmt.Sprintf("%schange/%012d", prefix, version) }
@@ -51,21 +51,21 @@
 	return fmt.Sprintf("%ssnapshot/%012d/%d", prefix, snapshot, part)
 }
 
-// WatchHead waits until the head is past an index or the wait is over. It
-// returns the head and its index; a store without configuration has index 0.
-func (s *Store) WatchHead(ctx context.Context, after uint64, wait time.Duration) (Head, uint64, error) {
-	v, err := s.kv.Watch(ctx, headKey, after, wait)
+// WatchHead returns the head and its index once the index is above afterIndex
+// or wait has passed. The index is 0 if the store has no configuration.
+func (s *Store) WatchHead(ctx context.Context, afterIndex uint64, wait time.Duration) (Head, uint64, error) {
+	v, err := s.kv.Watch(ctx, headKey, afterIndex, wait)
 	if err != nil || v.Index == 0 {
 		return Head{}, 0, err
 	}
 	var h Head
 	if err := json.Unmarshal(v.Data, &h); err != nil {
-		return Head{}, 0, &DamagedError{Key: headKey, Err: err}
+		return Head{}, 0, &CorruptValueError{Key: headKey, Err: err}
 	}
 	return h, v.Index, nil
 }
 
-// Change returns one change of the log, and false when it does not exist.
+// Change returns the change of a version, or false if it does not exist.
 func (s *Store) Change(ctx context.Context, version uint64) (conf.Change, bool, error) {
 	key := changeKey(version)
 	v, err := s.kv.Get(ctx, key)
@@ -74,12 +74,12 @@
 	}
 	var ch conf.Change
 	if err := json.Unmarshal(v.Data, &ch); err != nil {
-		return conf.Change{}, false, &DamagedError{Key: key, Err: err}
+		return conf.Change{}, false, &CorruptValueError{Key: key, Err: err}
 	}
 	return ch, true, nil
 }
 
-// Snapshot returns the whole configuration that a head points to.
+// Snapshot returns the configuration of a head's snapshot.
 func (s *Store) Snapshot(ctx context.Context, h Head) (*conf.Config, error) {
 	cfg := &conf.Config{}
 	for i := range h.Parts {
@@ -90,14 +90,14 @@
 		}
 		var part conf.Config
 		if err := json.Unmarshal(v.Data, &part); err != nil {
-			return nil, &DamagedError{Key: key, Err: err}
+			return nil, &CorruptValueError{Key: key, Err: err}
 		}
 		cfg = appendPart(cfg, part)
 	}
 	return cfg, nil
 }
 
-// Load returns the newest configuration and the changes since the snapshot.
+// Load returns the latest configuration and the changes since the snapshot.
 func (s *Store) Load(ctx context.Context) (*conf.Config, []conf.Change, error) {
 	head, _, err := s.WatchHead(ctx, 0, 0)
 	if err != nil {
--- a/node/confstore/store_test.go
+++ b/node/confstore/store_test.go
@@ -33,7 +33,7 @@
 	return ch.Version
 }
 
-func TestChangesBuildOnEachOther(t *testing.T) {
+func TestChangesApplyInSequence(t *testing.T) {
 	kv := consultest.NewMemory(nil)
 	s := confstore.New(kv)
 	for i := range 200 {
@@ -44,8 +44,8 @@
 	require.Equal(t, uint64(200), cfg.Version)
 	require.Len(t, cfg.Teams, 50)
 	require.Equal(t, 199.0, cfg.Weight("t49"))
-	const kept = 1 + 2 + 128 // the head, two snapshots, the changes since the older
-	require.LessOrEqual(t, kv.Len(), kept, "old changes and snapshots are trimmed")
+	const maxKeys = 1 + 2 + 128 // the head, two snapshots, the changes since the older snapshot
+	require.LessOrEqual(t, kv.Len(), maxKeys, "old changes and snapshots are trimmed")
 }
 
 func TestSameChangeIDIsAppliedOnce(t *testing.T) {
@@ -57,7 +57,7 @@
 	require.Equal(t, 1.0, cfg.Weight("a"))
 }
 
-func TestInvalidChangeChangesNothing(t *testing.T) {
+func TestInvalidChangeIsNotStored(t *testing.T) {
 	kv := consultest.NewMemory(nil)
 	_, err := confstore.New(kv).Submit(context.Background(), "bad", putTeam("NOT A NAME", 1))
 	var invalid *conf.InvalidError
@@ -65,30 +65,29 @@
 	require.Zero(t, kv.Len())
 }
 
-// TestOperatorsAtTheSameMoment lets operators submit at once over a store that
-// loses calls and answers. Changes of different items all succeed or stay
-// unresolved; of those to one item, whoever is told of a conflict did not take
-// effect, and whoever is told of success did.
-func TestOperatorsAtTheSameMoment(t *testing.T) {
+// TestConcurrentSubmits submits changes concurrently to a store that loses calls
+// and answers. It guards against a wrong outcome: an accepted change that is not
+// in the log, a conflicting one that is, or a conflict of different items.
+func TestConcurrentSubmits(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		seed := rapid.Uint64().Draw(rt, "seed")
 		operators := rapid.IntRange(2, 5).Draw(rt, "operators")
-		shared := rapid.Bool().Draw(rt, "same item")
+		sameItem := rapid.Bool().Draw(rt, "same item")
 		synctest.Test(t, func(t *testing.T) {
 			rng := rand.New(rand.NewPCG(seed, 1))
 			kv := consultest.NewMemory(func(call string) (bool, bool) {
 				if call != "cas" {
 					return true, true
 				}
-				x := rng.IntN(10)
-				return x > 1, x > 4 // a fifth is lost, three tenths lose the answer
+				roll := rng.IntN(10)
+				return roll > 1, roll > 4 // 20 % of calls are lost, 30 % of answers
 			})
 			s := confstore.New(kv)
 			errs := make([]error, operators)
 			var wg sync.WaitGroup
 			for i := range operators {
 				name := fmt.Sprintf("t%d", i)
-				if shared {
+				if sameItem {
 					name = "shared"
 				}
 				wg.Go(func() {
@@ -97,13 +96,13 @@
 			}
 			wg.Wait()
 			kv.SetFault(nil)
-			checkOutcomes(t, s, errs, shared)
+			checkOutcomes(t, s, errs, sameItem)
 		})
 	})
 }
 
-// checkOutcomes holds what each operator was told against the log.
-func checkOutcomes(t *testing.T, s *confstore.Store, errs []error, shared bool) {
+// checkOutcomes compares the result of each Submit with the log.
+func checkOutcomes(t *testing.T, s *confstore.Store, errs []error, sameItem bool) {
 	_, changes, err := s.Load(context.Background())
 	require.NoError(t, err)
 	accepted := map[string]int{}
@@ -114,13 +113,13 @@
 	for i, err := range errs {
 		n := accepted[fmt.Sprintf("op%d", i)]
 		var conflict *confstore.ConflictError
-		var unresolved *confstore.UnresolvedError
+		var unresolved *confstore.OutcomeUnknownError
 		switch {
 		case err == nil:
-			require.Equal(t, 1, n, "operator %d was told of success", i)
+			require.Equal(t, 1, n, "operator %d: Submit succeeded", i)
 		case errors.As(err, &conflict):
-			require.Zero(t, n, "operator %d was told of a conflict", i)
-			require.True(t, shared, "changes of different items do not conflict")
+			require.Zero(t, n, "operator %d: Submit returned a conflict", i)
+			require.True(t, sameItem, "changes of different items do not conflict")
 		default:
 			require.ErrorAs(t, err, &unresolved)
 			require.LessOrEqual(t, n, 1)
@@ -128,8 +127,8 @@
 	}
 }
 
-// TestLargeConfigurationIsSplit checks that no value nears the service's limit
-// and that the parts come together again.
+// TestLargeConfigurationIsSplit guards against values above the store's size
+// limit and against losing services when the parts are joined.
 func TestLargeConfigurationIsSplit(t *testing.T) {
 	kv := consultest.NewMemory(nil)
 	s := confstore.New(kv)
@@ -139,7 +138,7 @@
 			return largeItems(b, perBatch), conf.Names{}, nil
 		})
 	}
-	require.Less(t, kv.Largest(), 1<<20)
+	require.Less(t, kv.LargestValue(), 1<<20)
 	cfg, _, err := s.Load(context.Background())
 	require.NoError(t, err)
 	require.Len(t, cfg.Services, batches*perBatch)
--- a/node/consul/client.go
+++ b/node/consul/client.go
@@ -16,25 +16,25 @@
 )
 
 const (
-	// callTimeout bounds a call beyond the wait that it asks for.
+	// callTimeout bounds a call, in addition to the wait of a blocking query.
 	callTimeout = 3 * time.Second
-	// maxAnswer is the largest answer read, in bytes: a value is at most 1 MiB,
-	// a third more in base64.
-	maxAnswer = 4 << 20
-	// servicePrefix and the zone are the name under which hosts are listed, so
-	// that nobody has to read the list of the whole fleet.
+	// maxResponseBytes bounds a response body. A value has at most 1 MiB, or 4/3
+	// of that in base64.
+	maxResponseBytes = 4 << 20
+	// servicePrefix and the zone form the service name of the hosts of a zone,
+	// so that no client has to read the list of all hosts.
 	servicePrefix = "dotterelswitch-"
 )
 
 // Client implements Store over HTTP. It is safe for concurrent use.
 type Client struct {
-	base string
-	http *http.Client
+	baseURL    string
+	httpClient *http.Client
 }
 
-// NewClient returns a client of the service at host:port.
+// NewClient returns a client for the Consul API at address, a host:port.
 func NewClient(address string, dial func(ctx context.Context, network, addr string) (net.Conn, error)) *Client {
-	return &Client{base: "http://" + address, http: &http.Client{Transport: &http.Transport{DialContext: dial}}}
+	return &Client{baseURL: "http://" + address, httpClient: &http.Client{Transport: &http.Transport{DialContext: dial}}}
 }
 
 // Get implements Store.
@@ -48,7 +48,7 @@
 	return c.read(ctx, key, query, wait)
 }
 
-// kvEntry is the service's form of a value; Value is base64.
+// kvEntry is an entry of the response of /v1/kv; Value is base64 in JSON.
 type kvEntry struct {
 	Value       []byte
 	ModifyIndex uint64
@@ -67,7 +67,7 @@
 		return Value{}, &StoreError{Call: "get " + key, Err: err}
 	}
 	if len(entries) != 1 {
-		return Value{}, &StoreError{Call: "get " + key, Err: fmt.Errorf("%d entries", len(entries))}
+		return Value{}, &StoreError{Call: "get " + key, Err: fmt.Errorf("got %d entries, want 1", len(entries))}
 	}
 	return Value{Data: entries[0].Value, Index: entries[0].ModifyIndex}, nil
 }
@@ -79,11 +79,11 @@
 	if err != nil {
 		return false, err
 	}
-	var done bool
-	if err := json.Unmarshal(body, &done); err != nil {
+	var swapped bool
+	if err := json.Unmarshal(body, &swapped); err != nil {
 		return false, &StoreError{Call: "cas " + key, Err: err}
 	}
-	return done, nil
+	return swapped, nil
 }
 
 // Delete implements Store.
@@ -92,32 +92,32 @@
 	return err
 }
 
-// call makes one request; a status other than 200 and 404 is an error.
+// call makes one request. A status other than 200 or 404 is an error.
 func (c *Client) call(ctx context.Context, method, path string, query url.Values, body []byte, wait time.Duration) ([]byte, int, error) {
 	ctx, cancel := context.WithTimeout(ctx, wait+callTimeout)
 	defer cancel()
 	name := method + " " + path
-	req, err := http.NewRequestWithContext(ctx, method, c.base+path+"?"+query.Encode(), bytes.NewReader(body))
+	req, err := http.NewRequestWithContext(ctx, method, c.baseURL+path+"?"+query.Encode(), bytes.NewReader(body))
 	if err != nil {
 		return nil, 0, &StoreError{Call: name, Err: err}
 	}
-	resp, err := c.http.Do(req)
+	resp, err := c.httpClient.Do(req)
 	if err != nil {
 		return nil, 0, &StoreError{Call: name, Err: err}
 	}
 	defer func() { _ = resp.Body.Close() }()
-	data, err := io.ReadAll(io.LimitReader(resp.Body, maxAnswer))
+	data, err := io.ReadAll(io.LimitReader(resp.Body, maxResponseBytes))
 	if err != nil {
 		return nil, 0, &StoreError{Call: name, Err: err}
 	}
 	if resp.StatusCode != http.StatusOK && resp.StatusCode != http.StatusNotFound {
-		return nil, 0, &StoreError{Call: name, Err: fmt.Errorf("status %d", resp.StatusCode)}
+		return nil, 0, &StoreError{Call: name, Err: fmt.Errorf("unexpected HTTP status %d", resp.StatusCode)}
 	}
 	return data, resp.StatusCode, nil
 }
 
-// listedService is the service's form of a registered host.
-type listedService struct {
+// serviceEntry is the API's representation of a registered host.
+type serviceEntry struct {
 	ID      string
 	Name    string `json:"Name,omitempty"`
 	Address string
@@ -131,7 +131,7 @@
 	metaState       = "state"
 )
 
-// Register puts a host on the platform's list, or changes its entry.
+// Register adds a host to the platform's host list or updates its entry.
 func (c *Client) Register(ctx context.Context, h membership.Host) error {
 	address, portText, err := net.SplitHostPort(h.Peer)
 	if err != nil {
@@ -141,7 +141,7 @@
 	if err != nil {
 		return &StoreError{Call: "register", Err: err}
 	}
-	body, err := json.Marshal(listedService{
+	body, err := json.Marshal(serviceEntry{
 		ID: h.ID, Name: servicePrefix + h.Zone, Address: address, Port: port,
 		Meta: map[string]string{
 			metaZone: h.Zone, metaState: h.State.String(),
@@ -155,30 +155,30 @@
 	return err
 }
 
-// Deregister takes a host off the platform's list.
+// Deregister removes a host from the platform's host list.
 func (c *Client) Deregister(ctx context.Context, id string) error {
 	_, _, err := c.call(ctx, http.MethodPut, "/v1/agent/service/deregister/"+id, nil, nil, 0)
 	return err
 }
 
-// Hosts returns the platform's list of the hosts of one zone, which lags.
+// Hosts returns the registered hosts of one zone. The list may be stale.
 func (c *Client) Hosts(ctx context.Context, zone string) ([]membership.Host, error) {
 	body, _, err := c.call(ctx, http.MethodGet, "/v1/health/service/"+servicePrefix+zone, nil, nil, 0)
 	if err != nil {
 		return nil, err
 	}
-	var entries []struct{ Service listedService }
+	var entries []struct{ Service serviceEntry }
 	if err := json.Unmarshal(body, &entries); err != nil {
 		return nil, &StoreError{Call: "list hosts", Err: err}
 	}
 	hosts := make([]membership.Host, 0, len(entries))
 	for _, e := range entries {
-		hosts = append(hosts, hostOf(e.Service))
+		hosts = append(hosts, hostFromEntry(e.Service))
 	}
 	return hosts, nil
 }
 
-func hostOf(s listedService) membership.Host {
+func hostFromEntry(s serviceEntry) membership.Host {
 	incarnation, _ := strconv.ParseUint(s.Meta[metaIncarnation], 10, 64)
 	h := membership.Host{
 		ID: s.ID, Zone: s.Meta[metaZone], Incarnation: incarnation,
--- a/node/consul/consultest/memory.go
+++ b/node/consul/consultest/memory.go
@@ -1,5 +1,5 @@
-// Package consultest holds an in-memory fake of the platform's key-value
-// service with injected faults.
+// Package consultest provides an in-memory fake of the platform's key-value
+// store with fault injection.
 package consultest
 
 import (
@@ -11,30 +11,30 @@
 	"github.com/dotterelswitch/dotterelswitch/node/consul"
 )
 
-// ErrDown is what calls of a faulty store fail with.
-var ErrDown = errors.New("the store is down")
+// ErrUnavailable is the cause of every injected failure.
+var ErrUnavailable = errors.New("store unavailable (injected fault)")
 
-// Fault decides the fate of one call: whether it takes effect and whether its
-// answer arrives.
+// Fault decides whether a call takes effect and whether its answer arrives. An
+// answer is never delivered for a call without effect.
 type Fault func(call string) (effect, answer bool)
 
-// Memory is the fake. It is safe for concurrent use.
+// Memory is an in-memory consul.Store. It is safe for concurrent use.
 type Memory struct {
-	mu      sync.Mutex
-	fault   Fault
-	index   uint64
-	values  map[string]consul.Value
-	largest int
+	mu        sync.Mutex
+	fault     Fault
+	lastIndex uint64
+	values    map[string]consul.Value
+	largest   int
 }
 
 var _ consul.Store = (*Memory)(nil)
 
-// NewMemory returns an empty store; a nil fault means that none is injected.
+// NewMemory returns an empty store. A nil fault injects no failures.
 func NewMemory(fault Fault) *Memory {
 	return &Memory{fault: fault, values: make(map[string]consul.Value)}
 }
 
-// SetFault replaces the fault.
+// SetFault replaces the injected fault; nil removes it.
 func (m *Memory) SetFault(f Fault) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -49,25 +49,25 @@
 }
 
 // Largest returns the size of the largest value ever written, in bytes.
-func (m *Memory) Largest() int {
+func (m *Memory) LargestValue() int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.largest
 }
 
-// do runs f under the lock if the fault lets it take effect.
-func (m *Memory) do(call string, f func()) error {
+// call runs f under the lock unless the fault suppresses its effect.
+func (m *Memory) call(call string, f func()) error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	effect, answer := true, true
+	applied, answered := true, true
 	if m.fault != nil {
-		effect, answer = m.fault(call)
+		applied, answered = m.fault(call)
 	}
-	if effect {
+	if applied {
 		f()
 	}
-	if !effect || !answer {
-		return &consul.StoreError{Call: call, Err: ErrDown}
+	if !applied || !answered {
+		return &consul.StoreError{Call: call, Err: ErrUnavailable}
 	}
 	return nil
 }
@@ -75,31 +75,31 @@
 // Get implements consul.Store.
 func (m *Memory) Get(_ context.Context, key string) (consul.Value, error) {
 	var v consul.Value
-	err := m.do("get", func() { v = m.values[key] })
+	err := m.call("get", func() { v = m.values[key] })
 	return v, err
 }
 
-// Watch implements consul.Store; it returns at once.
+// Watch implements consul.Store. It returns without waiting.
 func (m *Memory) Watch(ctx context.Context, key string, _ uint64, _ time.Duration) (consul.Value, error) {
 	return m.Get(ctx, key)
 }
 
 // CompareAndSwap implements consul.Store.
 func (m *Memory) CompareAndSwap(_ context.Context, key string, value []byte, index uint64) (bool, error) {
-	won := false
-	err := m.do("cas", func() {
+	swapped := false
+	err := m.call("cas", func() {
 		if m.values[key].Index != index {
 			return
 		}
-		won = true
-		m.index++
+		swapped = true
+		m.lastIndex++
 		m.largest = max(m.largest, len(value))
-		m.values[key] = consul.Value{Data: value, Index: m.index}
+		m.values[key] = consul.Value{Data: value, Index: m.lastIndex}
 	})
-	return won, err
+	return swapped, err
 }
 
 // Delete implements consul.Store.
 func (m *Memory) Delete(_ context.Context, key string) error {
-	return m.do("delete", func() { delete(m.values, key) })
+	return m.call("delete", func() { delete(m.values, key) })
 }
--- a/node/consul/store.go
+++ b/node/consul/store.go
@@ -1,5 +1,5 @@
-// Package consul speaks to the platform's key-value service and its list of
-// hosts, by the published HTTP API of Consul (v1: kv, session, health, agent).
+// Package consul is a client for the platform's key-value store and host list,
+// which have the HTTP API of Consul (v1: kv, session, health, agent).
 package consul
 
 import (
@@ -7,28 +7,27 @@
 	"time"
 )
 
-// Store is what the system needs of the key-value service. Calls fail with a
-// *StoreError while the service is out; a write that fails may have taken
-// effect all the same.
+// Store is a key-value store. Calls fail with a *StoreError while the store is
+// unavailable; a write that fails may still have taken effect.
 type Store interface {
-	// Get returns the value of a key. A missing key has index zero.
+	// Get returns the value of a key. The index of a missing key is 0.
 	Get(ctx context.Context, key string) (Value, error)
-	// Watch waits until the key is past an index or the wait is over.
+	// Watch returns the value once its index is above after or wait has passed.
 	Watch(ctx context.Context, key string, after uint64, wait time.Duration) (Value, error)
-	// CompareAndSwap writes the key if it is still at an index; zero means
-	// that the key must not exist.
+	// CompareAndSwap writes the key if its index is still the given one; index
+	// 0 means that the key must not exist. It reports whether it wrote.
 	CompareAndSwap(ctx context.Context, key string, value []byte, index uint64) (bool, error)
-	// Delete removes a key; a missing key is no error.
+	// Delete removes a key. A missing key is not an error.
 	Delete(ctx context.Context, key string) error
 }
 
-// Value is a stored value and the index of its last change.
+// Value is a stored value with the modification index of its key.
 type Value struct {
 	Data  []byte
 	Index uint64
 }
 
-// StoreError reports a call that failed.
+// StoreError reports a failed call.
 type StoreError struct {
 	Call string
 	Err  error
--- a/node/gossip/message.go
+++ b/node/gossip/message.go
@@ -1,6 +1,5 @@
-// Package gossip exchanges membership between hosts by datagrams. A datagram
-// costs the same however large the fleet is, where a connection to each host
-// would not; one that is lost is made good by the next.
+// Package gossip exchanges membership between hosts over UDP. UDP avoids a
+// connection per pair of hosts; a lost datagram is compensated by later ones.
 package gossip
 
 import (
@@ -17,116 +16,119 @@
 	"github.com/dotterelswitch/dotterelswitch/node/peer/peerpb"
 )
 
-// Message is one datagram.
+// Message is the content of one datagram.
 type Message struct {
-	// Sequence pairs an answer with its probe.
+	// Sequence matches an answer to its probe.
 	Sequence uint64
 	Answer   bool
 	Self     membership.Host
 	Rumours  []membership.Host
 	// ConfigVersion is the sender's version of the configuration.
 	ConfigVersion uint64
-	// AskFloors names the services whose floors the sender lacks.
+	// AskFloors lists the services for which the sender requests floors.
 	AskFloors []string
-	// Floors answer AskFloors.
+	// Floors answers AskFloors.
 	Floors []Floor
-	// AskLost asks whether the receiver has lost a primary; nil asks nothing.
+	// AskLost asks whether the receiver considers a primary dead; nil if unused.
 	AskLost *LostQuestion
 	// Opinion answers AskLost.
 	Opinion *Opinion
-	// Lead tells of a promotion that the sender has led; nil tells of none.
+	// Lead announces a promotion run by the sender; nil if unused.
 	Lead *Lead
-	// QuotaRequest asks the receiver to grant operations; nil asks nothing.
+	// QuotaRequest asks the receiver to grant operations; nil if unused.
 	QuotaRequest *QuotaRequest
 	// Grant answers a QuotaRequest.
 	Grant *quota.Grant
 }
 
-// QuotaRequest asks for a grant of operations of a team.
+// QuotaRequest asks for a grant of a number of operations to a team.
 type QuotaRequest struct {
 	Team       string
 	Operations int
 }
 
-// Lead is which member leads a service, and in which term.
+// Lead names the primary of a service and its term.
 type Lead struct {
 	Service, Primary string
 	Term             logpos.Term
 }
 
-// LostQuestion names a primary that the sender has lost.
+// LostQuestion names a primary that the sender considers dead.
 type LostQuestion struct{ Service, Upstream string }
 
-// Opinion is what a host says of a primary that another one has lost.
+// Opinion is a host's view of a primary that another host considers dead.
 type Opinion struct {
 	Dead bool
-	// Reaches tells that the primary has answered the host lately.
+	// Reaches is set if the primary answered the host recently.
 	Reaches bool
-	// StoreReached tells that the host reaches the platform's store.
+	// StoreReached is set if the host can reach the platform's store.
 	StoreReached bool
-	// Lock is the token of the service's promotion lock that it knows.
+	// Lock is the fencing token of the service's promotion lock, as known to
+	// the host.
 	Lock uint64
-	// Leading tells that it leads a promotion of the service, or is about to.
+	// Leading is set if the host runs a promotion of the service or is about to.
 	Leading bool
 }
 
-// Floor is a log position that covers every commit of a service acknowledged
-// before a time.
+// Floor is a log position at or above every commit of a service that was
+// acknowledged before a point in time.
 type Floor struct {
 	Service  string
 	Position logpos.Position
-	// Primary is the member that proved its lead in LeadTerm; empty where the
-	// sender does not know it.
+	// Primary is the member confirmed as primary in LeadTerm; empty if unknown
+	// to the sender.
 	Primary  string
 	LeadTerm logpos.Term
-	// Age is how long before the message was made that time was. The receiver
-	// counts it from when it asked, so that delays on the way only make the
-	// floor look older than it is.
+	// Age is the time from that point to the encoding of the message. The
+	// receiver subtracts it from the time at which it sent the request, so that
+	// network delay can only make the floor appear older.
 	Age time.Duration
 }
 
 const (
-	// macBytes is the length of the authentication code ahead of the message.
+	// macBytes is the length of the message authentication code that precedes
+	// the message.
 	macBytes = 16
-	// maxDatagram keeps a message within one Ethernet frame.
-	maxDatagram = 1400
+	// maxDatagramBytes keeps a datagram within one Ethernet frame, so that it is
+	// not fragmented.
+	maxDatagramBytes = 1400
 )
 
 var (
-	errShort = errors.New("gossip: datagram is too short")
-	errMAC   = errors.New("gossip: datagram has a wrong authentication code")
+	errTooShort = errors.New("gossip: datagram is too short")
+	errWrongMAC = errors.New("gossip: datagram has a wrong authentication code")
 )
 
-// sum returns the authentication code of a message under the shared key.
-func sum(key, body []byte) []byte {
+// authCode returns the truncated HMAC-SHA256 of a message under the shared key.
+func authCode(key, body []byte) []byte {
 	h := hmac.New(sha256.New, key)
 	_, _ = h.Write(body)
 	return h.Sum(nil)[:macBytes]
 }
 
-// encode returns the datagram for a message.
+// encode serializes and authenticates a message.
 func encode(key []byte, m Message) ([]byte, error) {
 	body, err := proto.Marshal(&peerpb.Gossip{
 		Sequence: m.Sequence, Answer: m.Answer, Self: hostToProto(m.Self),
 		Rumours: hostsToProto(m.Rumours), ConfigVersion: m.ConfigVersion,
 		AskFloors: m.AskFloors, Floors: floorsToProto(m.Floors),
-		AskLost: questionToProto(m.AskLost), Opinion: opinionToProto(m.Opinion), Lead: leadToProto(m.Lead),
+		AskLost: lostQuestionToProto(m.AskLost), Opinion: opinionToProto(m.Opinion), Lead: leadToProto(m.Lead),
 		QuotaRequest: quotaRequestToProto(m.QuotaRequest), Grant: grantToProto(m.Grant),
 	})
 	if err != nil {
 		return nil, err
 	}
-	return append(sum(key, body), body...), nil
+	return append(authCode(key, body), body...), nil
 }
 
-// decode checks and reads a datagram.
+// decode verifies and parses a datagram.
 func decode(key, datagram []byte) (Message, error) {
 	if len(datagram) < macBytes {
-		return Message{}, errShort
+		return Message{}, errTooShort
 	}
 	body := datagram[macBytes:]
-	if !hmac.Equal(datagram[:macBytes], sum(key, body)) {
-		return Message{}, errMAC
+	if !hmac.Equal(datagram[:macBytes], authCode(key, body)) {
+		return Message{}, errWrongMAC
 	}
 	var p peerpb.Gossip
 	if err := proto.Unmarshal(body, &p); err != nil {
@@ -168,11 +170,11 @@
 	return &peerpb.QuotaRequest{Team: q.Team, Operations: uint32(q.Operations)}
 }
 
-func grantToProto(p *quota.Grant) *peerpb.QuotaGrant {
-	if p == nil {
+func grantToProto(g *quota.Grant) *peerpb.QuotaGrant {
+	if g == nil {
 		return nil
 	}
-	return &peerpb.QuotaGrant{Granted: uint32(p.Granted), RetryAfterUs: p.RetryAfter.Microseconds()}
+	return &peerpb.QuotaGrant{Granted: uint32(g.Granted), RetryAfterUs: g.RetryAfter.Microseconds()}
 }
 
 func leadToProto(l *Lead) *peerpb.Lead {
@@ -182,7 +184,7 @@
 	return &peerpb.Lead{Service: l.Service, Primary: l.Primary, Term: uint64(l.Term)}
 }
 
-func questionToProto(q *LostQuestion) *peerpb.LostQuestion {
+func lostQuestionToProto(q *LostQuestion) *peerpb.LostQuestion {
 	if q == nil {
 		return nil
 	}
@@ -213,7 +215,7 @@
 		Position: logpos.Position{Term: logpos.Term(p.GetTerm()), Offset: logpos.Offset(p.GetOffset())},
 		Primary:  p.GetPrimary(),
 		LeadTerm: logpos.Term(p.GetLeadTerm()),
-		// One more microsecond makes up for the rounding.
+		// Rounds up, because the sender truncated to microseconds.
 		Age: time.Duration(p.GetAgeUs()+1) * time.Microsecond,
 	}
 }
--- a/node/gossip/transport.go
+++ b/node/gossip/transport.go
@@ -9,37 +9,41 @@
 	"syscall"
 )
 
-// Handler answers the probes of other hosts.
+// Handler returns the answer to a probe of another host.
 type Handler func(m Message) Message
 
-// Transport sends and receives datagrams. It is safe for concurrent use.
+// receiveBufferBytes holds the largest possible UDP datagram.
+const receiveBufferBytes = 64 * 1024
+
+// Transport sends probes and answers those of other hosts. It is safe for
+// concurrent use.
 type Transport struct {
-	conn    net.PacketConn
-	key     []byte
-	handler Handler
-	next    atomic.Uint64
-	bytes   atomic.Int64
+	conn         net.PacketConn
+	key          []byte
+	handler      Handler
+	lastSequence atomic.Uint64
+	bytes        atomic.Int64
 
 	mu      sync.Mutex
-	waiting map[uint64]chan Message
+	pending map[uint64]chan Message
 }
 
-// NewTransport serves datagrams on a connection until it is closed. Key is the
-// secret that hosts share.
+// NewTransport serves datagrams on conn until Close. All hosts of a deployment
+// share the same key.
 func NewTransport(conn net.PacketConn, key string, handler Handler) *Transport {
-	t := &Transport{conn: conn, key: []byte(key), handler: handler, waiting: make(map[uint64]chan Message)}
+	t := &Transport{conn: conn, key: []byte(key), handler: handler, pending: make(map[uint64]chan Message)}
 	go t.serve()
 	return t
 }
 
-// Bytes returns the bytes sent and received, without IP and UDP headers.
+// Bytes returns the total bytes sent and received, excluding IP and UDP headers.
 func (t *Transport) Bytes() int64 { return t.bytes.Load() }
 
-// Close ends the transport.
+// Close closes the connection and ends the receive loop.
 func (t *Transport) Close() { _ = t.conn.Close() }
 
 func (t *Transport) serve() {
-	buf := make([]byte, 64*1024)
+	buf := make([]byte, receiveBufferBytes)
 	for {
 		n, from, err := t.conn.ReadFrom(buf)
 		if errors.Is(err, net.ErrClosed) {
@@ -54,7 +58,7 @@
 			continue
 		}
 		if m.Answer {
-			t.deliver(m)
+			t.deliverAnswer(m)
 			continue
 		}
 		answer := t.handler(m)
@@ -63,21 +67,21 @@
 	}
 }
 
-// deliver hands an answer to the probe that waits for it; a late one is
-// dropped.
-func (t *Transport) deliver(m Message) {
+// deliverAnswer passes an answer to the probe that awaits it, and drops the
+// answer if that probe has timed out.
+func (t *Transport) deliverAnswer(m Message) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if ch, found := t.waiting[m.Sequence]; found {
+	if ch, found := t.pending[m.Sequence]; found {
 		ch <- m
-		delete(t.waiting, m.Sequence)
+		delete(t.pending, m.Sequence)
 	}
 }
 
-// send drops rumours that would not fit into one datagram.
+// send drops the last rumours of a message until it fits into one datagram.
 func (t *Transport) send(to net.Addr, m Message) error {
 	data, err := encode(t.key, m)
-	for err == nil && len(data) > maxDatagram && len(m.Rumours) > 0 {
+	for err == nil && len(data) > maxDatagramBytes && len(m.Rumours) > 0 {
 		m.Rumours = m.Rumours[:len(m.Rumours)-1]
 		data, err = encode(t.key, m)
 	}
@@ -89,18 +93,18 @@
 	return err
 }
 
-// Probe sends a message and waits for the answer until the context ends.
+// Probe sends a message and waits for the answer until ctx is done.
 func (t *Transport) Probe(ctx context.Context, address string, m Message) (Message, error) {
 	to, err := net.ResolveUDPAddr("udp", address)
 	if err != nil {
 		return Message{}, err
 	}
-	m.Sequence = t.next.Add(1)
+	m.Sequence = t.lastSequence.Add(1)
 	ch := make(chan Message, 1)
 	t.mu.Lock()
-	t.waiting[m.Sequence] = ch
+	t.pending[m.Sequence] = ch
 	t.mu.Unlock()
-	defer t.forget(m.Sequence)
+	defer t.removePending(m.Sequence)
 	if err := t.send(to, m); err != nil {
 		return Message{}, err
 	}
@@ -112,11 +116,11 @@
 	}
 }
 
-func (t *Transport) forget(sequence uint64) {
+func (t *Transport) removePending(sequence uint64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	delete(t.waiting, sequence)
+	delete(t.pending, sequence)
 }
 
-// Refused reports whether an error says that no process has the port open.
-func Refused(err error) bool { return errors.Is(err, syscall.ECONNREFUSED) }
+// IsConnRefused reports whether err means that no process listens on the port.
+func IsConnRefused(err error) bool { return errors.Is(err, syscall.ECONNREFUSED) }
--- a/node/gossip/transport_test.go
+++ b/node/gossip/transport_test.go
@@ -20,10 +20,10 @@
 
 func TestProbeAndAnswer(t *testing.T) {
 	a, b := listen(t), listen(t)
-	echo := func(m Message) Message {
+	handler := func(m Message) Message {
 		return Message{Self: membership.Host{ID: "b", Incarnation: 2}, Rumours: m.Rumours, ConfigVersion: 7}
 	}
-	ta, tb := NewTransport(a, "key", echo), NewTransport(b, "key", echo)
+	ta, tb := NewTransport(a, "key", handler), NewTransport(b, "key", handler)
 	defer ta.Close()
 	defer tb.Close()
 	rumours := []membership.Host{{ID: "c", Zone: "z", Peer: "127.0.0.1:1", Incarnation: 3, State: membership.Leaving}}
@@ -33,54 +33,55 @@
 	require.Equal(t, uint64(7), got.ConfigVersion)
 }
 
-// TestOtherKeysAreIgnored covers a host of another deployment, or an intruder.
-func TestOtherKeysAreIgnored(t *testing.T) {
+// TestDatagramsUnderAnotherKeyAreIgnored guards against handling datagrams of
+// another deployment or of an attacker.
+func TestDatagramsUnderAnotherKeyAreIgnored(t *testing.T) {
 	a, b := listen(t), listen(t)
-	asked := false
+	handled := false
 	ta := NewTransport(a, "one", func(m Message) Message { return m })
-	tb := NewTransport(b, "two", func(m Message) Message { asked = true; return m })
+	tb := NewTransport(b, "two", func(m Message) Message { handled = true; return m })
 	defer ta.Close()
 	defer tb.Close()
 	ctx, cancel := context.WithTimeout(t.Context(), 50*time.Millisecond)
 	defer cancel()
 	_, err := ta.Probe(ctx, b.LocalAddr().String(), Message{})
 	require.Error(t, err)
-	require.False(t, asked)
+	require.False(t, handled)
 }
 
-func TestDamagedDatagrams(t *testing.T) {
+func TestCorruptDatagramsAreRejected(t *testing.T) {
 	key := []byte("key")
-	good, err := encode(key, Message{Self: membership.Host{ID: "a"}})
+	valid, err := encode(key, Message{Self: membership.Host{ID: "a"}})
 	require.NoError(t, err)
-	for i := range good {
-		bad := append([]byte(nil), good...)
-		bad[i] ^= 1
-		_, err := decode(key, bad)
+	for i := range valid {
+		corrupt := append([]byte(nil), valid...)
+		corrupt[i] ^= 1
+		_, err := decode(key, corrupt)
 		require.Error(t, err, "byte %d", i)
 	}
-	_, err = decode(key, good[:10])
-	require.ErrorIs(t, err, errShort)
+	_, err = decode(key, valid[:10])
+	require.ErrorIs(t, err, errTooShort)
 }
 
-// TestDatagramsStaySmall checks that rumours are left out rather than sent in
-// a datagram that the network would split.
-func TestDatagramsStaySmall(t *testing.T) {
+// TestRumoursAreDroppedToFitOneDatagram guards against datagrams that exceed the
+// MTU and would be fragmented.
+func TestRumoursAreDroppedToFitOneDatagram(t *testing.T) {
 	a, b := listen(t), listen(t)
-	seen := make(chan int, 1)
+	received := make(chan int, 1)
 	ta := NewTransport(a, "key", func(m Message) Message { return m })
 	tb := NewTransport(b, "key", func(m Message) Message {
-		seen <- len(m.Rumours)
+		received <- len(m.Rumours)
 		return Message{}
 	})
 	defer ta.Close()
 	defer tb.Close()
-	many := make([]membership.Host, 200)
-	for i := range many {
-		many[i] = membership.Host{ID: "a-host-with-a-long-name", Zone: "zone", Peer: "127.0.0.1:65535", Incarnation: 1 << 50}
+	rumours := make([]membership.Host, 200)
+	for i := range rumours {
+		rumours[i] = membership.Host{ID: "a-host-with-a-long-name", Zone: "zone", Peer: "127.0.0.1:65535", Incarnation: 1 << 50}
 	}
-	_, err := ta.Probe(t.Context(), b.LocalAddr().String(), Message{Rumours: many})
+	_, err := ta.Probe(t.Context(), b.LocalAddr().String(), Message{Rumours: rumours})
 	require.NoError(t, err)
-	n := <-seen
+	n := <-received
 	require.Positive(t, n)
-	require.Less(t, n, len(many))
+	require.Less(t, n, len(rumours))
 }
