--- a/node/owner/execute.go
+++ b/node/owner/execute.go
@@ -231,7 +231,7 @@
 	p.unconfirmed.Add(1)
 	defer p.unconfirmed.Add(-1)
 	landing := group.Pending
-	err := p.watcher.Await(ctx, watch.ForConfirmation, func(v *group.View, _ time.Duration) bool {
+	err := p.watcher.Await(ctx, watch.ForCommit, func(v *group.View, _ time.Duration) bool {
 		landing = v.EntryState(answer.Position)
 		return landing != group.Pending
 	})
--- a/node/owner/watched_group.go
+++ b/node/owner/watched_group.go
@@ -46,7 +46,7 @@
 	g.watcher = watch.New(watch.Config{
 		Service: s.Name, Members: s.UpstreamNames(), Controls: g.controls,
 		Claimant: applicationName(cfg.Host), Rank: rank, Timing: cfg.Timing,
-		Seed: membership.Score(s.Name, cfg.Host.ID), Record: cfg.Record, Log: cfg.Log,
+		Seed: membership.Score(s.Name, cfg.Host.ID), OnPromoted: cfg.Record, Log: cfg.Log,
 	})
 	go g.watcher.Run(ctx)
 	return g
--- a/node/watch/watcher.go
+++ b/node/watch/watcher.go
@@ -1,6 +1,6 @@
-// Package watch runs a group controller against real members: it sends the
-// probes, claims and promotions that the controller orders and lets requests
-// wait until the view of the group satisfies a condition.
+// Package watch runs a group controller against the members of a group: it
+// performs the probes, claims and promotions that the controller returns, and
+// lets requests wait until the view of the group satisfies a condition.
 package watch
 
 import (
@@ -17,73 +17,77 @@
 )
 
 const (
-	// stepTime is the granularity of the controller's time while there is
-	// something to decide.
-	stepTime = 10 * time.Millisecond
-	// confirmPace and freshPace are the shortest intervals between probes of a
-	// member while requests wait for a confirmation, or for fresh knowledge.
-	confirmPace = 2 * time.Millisecond
-	freshPace   = 4 * time.Millisecond
-	// awaitLimit bounds a probe that waits for a change. It delays a request
-	// that needs fresh knowledge of the same member.
-	awaitLimit = 20 * time.Millisecond
-	// lateAfter is when an unanswered probe counts as failed. The probe stays
-	// open, so that a slow answer still clears the failure.
-	lateAfter = 250 * time.Millisecond
-	// probeLimit ends a probe and its connection.
-	probeLimit = 2 * time.Second
+	// tickInterval is the controller's tick interval while it has pending
+	// decisions.
+	tickInterval = 10 * time.Millisecond
+	// commitProbeInterval and freshnessProbeInterval are the minimum intervals
+	// between probes of a member while requests wait with ForCommit, or with
+	// ForFreshness only.
+	commitProbeInterval    = 2 * time.Millisecond
+	freshnessProbeInterval = 4 * time.Millisecond
+	// awaitTimeout bounds a long-polling probe. Until it ends, a request that
+	// needs a current status of the same member has to wait.
+	awaitTimeout = 20 * time.Millisecond
+	// slowProbeTimeout is when an unanswered probe is reported as failed. The
+	// probe stays open, so that a slow answer still clears the failure.
+	slowProbeTimeout = 250 * time.Millisecond
+	// probeTimeout ends a probe and closes its connection.
+	probeTimeout = 2 * time.Second
 )
 
-// Config describes one watcher.
+// Config configures a Watcher.
 type Config struct {
 	Service string
-	// Members are the members' names in order, Controls their connections.
+	// Members lists the members' names in order, and Controls holds their
+	// control connections.
 	Members  []string
 	Controls map[string]*upstream.Control
-	// Claimant names this host and incarnation in claims.
+	// Claimant identifies this host and its incarnation in claims.
 	Claimant string
 	Rank     int
 	Timing   group.Timing
 	Seed     uint64
-	// Record is told of each promotion that this host completed.
-	Record func(service string, term logpos.Term, primary string)
-	Log    zerolog.Logger
+	// OnPromoted is called after each promotion that this host completed; nil
+	// if unused.
+	OnPromoted func(service string, term logpos.Term, primary string)
+	Log        zerolog.Logger
 }
 
-// Watcher watches one group. It is safe for concurrent use.
+// Watcher monitors one group and fails over its primary. It is safe for
+// concurrent use.
 type Watcher struct {
-	cfg    Config
-	origin time.Time
+	cfg       Config
+	startedAt time.Time
 
 	// mu guards the fields below.
-	mu      sync.Mutex
-	ctl     *group.Controller
-	changed chan struct{}
-	demand  [demandKinds]int
-	busy    map[string]bool
-	sentAt  map[string]time.Duration
-	primary string
-	resting bool
-	wake    chan struct{}
-}
-
-// New returns a watcher; Run starts it.
+	mu          sync.Mutex
+	ctl         *group.Controller
+	changed     chan struct{}
+	demand      [demandKinds]int
+	probing     map[string]bool
+	probeSentAt map[string]time.Duration
+	lastPrimary string
+	sleeping    bool
+	wake        chan struct{}
+}
+
+// New returns a watcher. Call Run to start it.
 func New(cfg Config) *Watcher {
 	return &Watcher{
-		cfg:     cfg,
-		origin:  time.Now(),
-		ctl:     group.NewController(cfg.Members, cfg.Rank, cfg.Timing, cfg.Seed),
-		changed: make(chan struct{}),
-		wake:    make(chan struct{}, 1),
-		busy:    make(map[string]bool),
-		sentAt:  make(map[string]time.Duration),
+		cfg:         cfg,
+		startedAt:   time.Now(),
+		ctl:         group.NewController(cfg.Members, cfg.Rank, cfg.Timing, cfg.Seed),
+		changed:     make(chan struct{}),
+		wake:        make(chan struct{}, 1),
+		probing:     make(map[string]bool),
+		probeSentAt: make(map[string]time.Duration),
 	}
 }
 
-// Now returns the watcher's monotonic time.
-func (w *Watcher) Now() time.Duration { return time.Since(w.origin) }
+// Now returns the monotonic time since the watcher was created.
+func (w *Watcher) Now() time.Duration { return time.Since(w.startedAt) }
 
-// Run drives the controller until the context ends.
+// Run drives the controller until ctx is done.
 func (w *Watcher) Run(ctx context.Context) {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
@@ -94,61 +98,64 @@
 		case <-ctx.Done():
 			return
 		}
-		timer.Reset(w.step(ctx))
+		timer.Reset(w.tick(ctx))
 	}
 }
 
-// step ticks the controller and returns how long it may rest.
-func (w *Watcher) step(ctx context.Context) time.Duration {
+// tick advances the controller and returns the time until its next tick.
+func (w *Watcher) tick(ctx context.Context) time.Duration {
 	w.mu.Lock()
 	actions := w.ctl.Tick(w.Now())
-	rest := w.ctl.NextTick(w.Now(), stepTime)
-	w.resting = rest > stepTime
+	wait := w.ctl.NextTick(w.Now(), tickInterval)
+	w.sleeping = wait > tickInterval
 	w.mu.Unlock()
 	w.perform(ctx, actions)
-	return rest
+	return wait
 }
 
-// hurry ends a long rest; it needs mu held.
-func (w *Watcher) hurry() {
-	if !w.resting || w.ctl.NextTick(w.Now(), stepTime) > stepTime {
+// wakeIfDue ends a sleep of Run if the controller needs a tick earlier. The
+// caller must hold mu.
+func (w *Watcher) wakeIfDue() {
+	if !w.sleeping || w.ctl.NextTick(w.Now(), tickInterval) > tickInterval {
 		return
 	}
-	w.resting = false
+	w.sleeping = false
 	select {
 	case w.wake <- struct{}{}:
 	default:
 	}
 }
 
-// Suspect hints that a request to the primary failed.
+// Suspect tells the controller that a request to the primary failed.
 func (w *Watcher) Suspect() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.ctl.Suspect(w.Now())
-	w.hurry()
+	w.wakeIfDue()
 }
 
-// Handover replaces the primary if it is among the members to avoid.
-func (w *Watcher) Handover(ctx context.Context, avoid []string) {
-	w.update(ctx, func(now time.Duration) []group.Action { return w.ctl.Handover(now, avoid) })
+// Handover replaces the primary if it is among the excluded members.
+func (w *Watcher) Handover(ctx context.Context, excluded []string) {
+	w.update(ctx, func(now time.Duration) []group.Action { return w.ctl.Handover(now, excluded) })
 }
 
-// SetRank changes this host's turn among the group's watchers.
+// SetRank sets this host's rank among the group's watchers, which determines its
+// takeover delay.
 func (w *Watcher) SetRank(rank int) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.ctl.SetRank(rank)
 }
 
-// SetTiming changes the delays of failure detection.
+// SetTiming sets the timing of failure detection and promotion.
 func (w *Watcher) SetTiming(t group.Timing) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.ctl.SetTiming(t)
 }
 
-// Inspect calls f with the view. F must not keep the view nor block.
+// Inspect calls f with the view while holding the lock. f must not block or
+// retain the view.
 func (w *Watcher) Inspect(f func(v *group.View, now time.Duration)) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -162,22 +169,22 @@
 	return w.ctl.Promotions()
 }
 
-// Demand says which members are probed without pause while a request waits.
+// Demand selects the members that are probed continuously while a request waits.
 type Demand uint8
 
-// The demands.
 const (
-	// ForConfirmation waits for the primary to report its replicas' progress.
-	ForConfirmation Demand = iota
-	// ForFreshness waits for proof of how current the members are.
+	// ForCommit waits until the primary reports that replicas have received
+	// a write.
+	ForCommit Demand = iota
+	// ForFreshness waits for a current status of all members.
 	ForFreshness
 	demandKinds
 )
 
-// Await blocks until done returns true or the context ends. Meanwhile the
-// members that the demand concerns are probed without pause.
+// Await blocks until done returns true or ctx is done. Meanwhile the members
+// selected by the demand are probed continuously.
 func (w *Watcher) Await(ctx context.Context, demand Demand, done func(v *group.View, now time.Duration) bool) error {
-	ready, changed := w.check(done)
+	ready, changed := w.evaluate(done)
 	if ready {
 		return nil
 	}
@@ -189,21 +196,22 @@
 		case <-ctx.Done():
 			return ctx.Err()
 		}
-		if ready, changed = w.check(done); ready {
+		if ready, changed = w.evaluate(done); ready {
 			return nil
 		}
 	}
 }
 
-// check asks for a condition and returns what is closed at the next change.
-func (w *Watcher) check(done func(v *group.View, now time.Duration) bool) (bool, <-chan struct{}) {
+// evaluate returns the result of the condition and a channel that is closed at
+// the next change of the view.
+func (w *Watcher) evaluate(done func(v *group.View, now time.Duration) bool) (bool, <-chan struct{}) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return done(w.ctl.View(), w.Now()), w.changed
 }
 
-// addDemand changes the number of requests that wait; the first one starts
-// probes at once.
+// addDemand adds n to the number of waiting requests. If n is positive, it
+// probes the selected members at once.
 func (w *Watcher) addDemand(ctx context.Context, d Demand, n int) {
 	w.mu.Lock()
 	w.demand[d] += n
@@ -212,43 +220,43 @@
 		return
 	}
 	for _, m := range w.cfg.Members {
-		if w.demanded(m) {
+		if w.needsProbes(m) {
 			w.probe(context.WithoutCancel(ctx), m)
 		}
 	}
 }
 
-// demanded reports whether requests wait for news of a member.
-func (w *Watcher) demanded(member string) bool {
+// needsProbes reports whether requests wait for a status of a member.
+func (w *Watcher) needsProbes(member string) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if w.demand[ForFreshness] > 0 {
 		return true
 	}
 	primary, found := w.ctl.View().Primary()
-	return w.demand[ForConfirmation] > 0 && (!found || primary.Member == member)
+	return w.demand[ForCommit] > 0 && (!found || primary.Member == member)
 }
 
-// update runs f under the lock, wakes the requests that wait and performs the
+// update runs f under the lock, wakes the waiting requests and performs the
 // actions that f returns.
 func (w *Watcher) update(ctx context.Context, f func(now time.Duration) []group.Action) {
 	w.mu.Lock()
 	actions := f(w.Now())
 	close(w.changed)
 	w.changed = make(chan struct{})
-	w.notePrimary()
-	w.hurry()
+	w.logPrimaryChange()
+	w.wakeIfDue()
 	w.mu.Unlock()
 	w.perform(ctx, actions)
 }
 
-// notePrimary logs a change of primary; it needs mu held.
-func (w *Watcher) notePrimary() {
-	st, found := w.ctl.View().Primary()
-	if !found || st.Member == w.primary {
+// logPrimaryChange logs a change of the primary. The caller must hold mu.
+func (w *Watcher) logPrimaryChange() {
+	primary, found := w.ctl.View().Primary()
+	if !found || primary.Member == w.lastPrimary {
 		return
 	}
-	w.primary = st.Member
+	w.lastPrimary = primary.Member
 	eventlog.PrimaryChanged.Info(w.cfg.Log).
-		Str("service", w.cfg.Service).Str("upstream", st.Member).Uint64("term", uint64(st.GrantedTerm)).Send()
+		Str("service", w.cfg.Service).Str("upstream", primary.Member).Uint64("term", uint64(primary.GrantedTerm)).Send()
 }
