--- a/node/clock/clock.go
+++ b/node/clock/clock.go
@@ -1,6 +1,6 @@
-// Package clock reads a clock that also counts the time in which the machine
-// was suspended. Leases and the age of what a host knows are measured on it: a
-// host that wakes up must find that what it believed is old.
+// Package clock reads CLOCK_BOOTTIME, which keeps counting while the machine is
+// suspended. Lease expiry and the age of cached state are measured on it, so
+// that both are treated as stale after a resume.
 package clock
 
 import (
@@ -9,15 +9,16 @@
 	"golang.org/x/sys/unix"
 )
 
-// Now returns the time since the machine started.
+// Now returns the time since boot, including time in suspension.
 func Now() time.Duration {
 	var ts unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &ts); err != nil {
-		// Only kernels older than this program's minimum lack the clock.
+		// Every supported kernel version has this clock.
 		panic("clock: CLOCK_BOOTTIME is not available: " + err.Error())
 	}
 	return time.Duration(ts.Nano())
 }
 
-// Deadline turns an offset on this clock into a time for the network library.
+// Deadline converts a time on this clock to a time.Time, as net.Conn deadlines
+// require.
 func Deadline(at time.Duration) time.Time { return time.Now().Add(at - Now()) }
--- a/node/clock/every.go
+++ b/node/clock/every.go
@@ -5,21 +5,21 @@
 	"time"
 )
 
-// Every calls f after each interval until the context ends.
+// Every calls f at each interval until ctx is done.
 func Every(ctx context.Context, interval time.Duration, f func()) {
-	tick := time.NewTicker(interval)
-	defer tick.Stop()
+	ticker := time.NewTicker(interval)
+	defer ticker.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-tick.C:
+		case <-ticker.C:
 			f()
 		}
 	}
 }
 
-// Sleep waits; it reports false when the context ended first.
+// Sleep waits for d. It returns false if ctx is done first.
 func Sleep(ctx context.Context, d time.Duration) bool {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
--- a/node/exit/exit.go
+++ b/node/exit/exit.go
@@ -1,4 +1,4 @@
-// Package exit maps errors to the exit statuses of the commands.
+// Package exit maps errors to process exit statuses.
 package exit
 
 import (
@@ -8,15 +8,15 @@
 	"github.com/dotterelswitch/dotterelswitch/node/settings"
 )
 
-// The exit statuses, besides 0 for success.
+// Exit statuses other than 0.
 const (
-	// Failure is any failure at run time.
+	// Failure is returned for any error at run time.
 	Failure = 1
-	// Usage is a wrong argument or setting; nothing was done.
+	// Usage is returned for an invalid argument or setting; nothing was run.
 	Usage = 2
 )
 
-// UsageError reports arguments that are not allowed.
+// UsageError reports invalid command-line arguments.
 type UsageError struct{ Text string }
 
 func (e *UsageError) Error() string { return e.Text }
@@ -31,8 +31,8 @@
 	return Failure
 }
 
-// isFlagError recognises the command-line library's own errors, which have no
-// type in common.
+// isFlagError recognizes the errors of the command-line library by their text,
+// because they share no type.
 func isFlagError(err error) bool {
 	text := err.Error()
 	return strings.HasPrefix(text, "flag provided but not defined") ||
