--- a/node/owner/execute.go
+++ b/node/owner/execute.go
@@ -237,7 +237,7 @@
 	p.unconfirmed.Add(1)
 	defer p.unconfirmed.Add(-1)
 	state := group.Pending
-	err := p.watcher.Await(ctx, watch.ForConfirmation, func(v *group.View, _ time.Duration) bool {
+	err := p.watcher.Await(ctx, watch.ForCommit, func(v *group.View, _ time.Duration) bool {
 		state = v.EntryState(answer.Position)
 		return state != group.Pending
 	})
