--- a/node/entry/entry.go
+++ b/node/entry/entry.go
@@ -124,11 +124,11 @@
 	h.owner = fmt.Sprintf("%s@%d", s.Host, clock.Now())
 	h.gates = peer.NewGateClient(h.ctx, dial, h.owner)
 	h.registry = registry.New(registry.Config{
-		Store: registry.Counted(a.Store, h.storeCalled), Documents: a.Documents,
-		Self:        gates.Host{Name: s.Host, Zone: s.Places.Zone, Address: s.PeerAddress},
-		ConfigBound: s.ConfigBound, FollowHost: h.gates.Follow, AskConfig: h.gates.Configuration, Without: s.Without, Changed: h.poke, Log: h.log,
+		Store: registry.NewCountingStore(a.Store, h.storeCalled), Documents: a.Documents,
+		Self:               gates.Host{Name: s.Host, Zone: s.Places.Zone, Address: s.PeerAddress},
+		MaxConfigApplyTime: s.ConfigBound, FollowHost: h.gates.Follow, FetchConfig: h.gates.Configuration, Disabled: s.Without, Changed: h.poke, Log: h.log,
 	})
-	h.limiter = limits.New(limits.Config{Self: quota.Host{Name: s.Host, Region: s.Places.Region(s.Places.Zone)}, Tolerance: s.Quota, Ask: h.requestGrant, Limit: h.limitOf, Remembered: h.registry.Remembered})
+	h.limiter = limits.New(limits.Config{Self: quota.Host{Name: s.Host, Region: s.Places.Region(s.Places.Zone)}, Tolerance: s.Quota, RequestGrant: h.requestGrant, Limit: h.limitOf, RegisteredAtStart: h.registry.RegisteredAtStart})
 	if err := h.listen(); err != nil {
 		h.cancel()
 		return nil, err
@@ -142,8 +142,8 @@
 		return nil, err
 	}
 	h.wg.Go(func() { h.registry.Run(h.ctx) })
-	h.wg.Go(func() { h.registry.KeepPresence(h.ctx) })
-	h.wg.Go(func() { h.registry.FollowPeers(h.ctx, h.gates.Listing) })
+	h.wg.Go(func() { h.registry.KeepRegistered(h.ctx) })
+	h.wg.Go(func() { h.registry.PollPeers(h.ctx, h.gates.Listing) })
 	h.wg.Go(func() { h.reconcile(h.ctx) })
 	h.wg.Go(func() { h.endIdleTransactions(h.ctx) })
 	h.wg.Go(func() { h.watchGroups(h.ctx) })
@@ -275,7 +275,7 @@
 		return
 	}
 	h.setFleet(h.fleet.Next(hosts))
-	groups := h.registry.Groups()
+	groups := h.registry.MembersByService()
 	for name, spec := range c.Services {
 		h.ensureSet(ctx, name).Update(groups[name], spec, h.fleet)
 	}
--- a/node/entry/metrics.go
+++ b/node/entry/metrics.go
@@ -93,7 +93,7 @@
 	m.Gauge("hosts", float64(st.Hosts))
 	m.Gauge("platform_epoch", float64(st.Revision.Epoch()))
 	m.Gauge("platform_revision", float64(st.Revision.Number()))
-	m.Gauge("platform_heard_seconds", st.Heard.Seconds())
+	m.Gauge("platform_heard_seconds", st.SinceContact.Seconds())
 	m.Gauge("platform_followers", float64(st.Followers))
 	m.Gauge("log_lines_left_out", float64(h.budget.LeftOut()))
 	for _, s := range h.allSets() {
--- a/node/entry/news.go
+++ b/node/entry/news.go
@@ -16,13 +16,13 @@
 func (h *Host) logNews(ctx context.Context) { clock.Every(ctx, newsInterval, h.writeNews) }
 
 func (h *Host) writeNews() {
-	st, counts := h.registry.State(), h.registry.TakeNewsCounts()
+	st, counts := h.registry.State(), h.registry.TakeUpdateCounts()
 	var version uint64
 	if c := h.registry.Catalog(); c != nil {
 		version = c.Version
 	}
 	eventlog.NewsCounted.Info(h.log).Stringer("revision", st.Revision).Uint64("version", version).
-		Bool("away", st.Away).Bool("direct", st.Direct).Str("relay", st.Relay).Dur("heard_ms", st.Heard).
+		Bool("away", st.Unreachable).Bool("direct", st.Direct).Str("relay", st.Relay).Dur("heard_ms", st.SinceContact).
 		Int("from_store", counts.FromStore).Int("from_relay", counts.FromRelay).Int("from_peers", counts.FromPeers).
-		Int("told", counts.Told).Int("followers", st.Followers).Send()
+		Int("told", counts.Sent).Int("followers", st.Followers).Send()
 }
--- a/node/entry/peers.go
+++ b/node/entry/peers.go
@@ -73,8 +73,8 @@
 func (h *Host) Configuration(above uint64) []byte { return h.registry.ConfigDocument(above) }
 
 // Tell implements peer.GateHandler.
-func (h *Host) Tell(ctx context.Context, after store.Revision, send func(registry.News) error) error {
-	return h.registry.Tell(ctx, after, send)
+func (h *Host) Tell(ctx context.Context, after store.Revision, send func(registry.Update) error) error {
+	return h.registry.StreamUpdates(ctx, after, send)
 }
 
 // Detached implements peer.GateHandler.
--- a/node/entry/show.go
+++ b/node/entry/show.go
@@ -34,7 +34,7 @@
 func (h *Host) showStore() *inspectpb.Store {
 	st := h.registry.State()
 	return &inspectpb.Store{
-		Away: st.Away, HeardMsAgo: uint32(st.Heard.Milliseconds()), Revision: st.Revision.Number(), Epoch: uint64(st.Revision.Epoch()), Relay: st.Relay,
+		Away: st.Unreachable, HeardMsAgo: uint32(st.SinceContact.Milliseconds()), Revision: st.Revision.Number(), Epoch: uint64(st.Revision.Epoch()), Relay: st.Relay,
 		Direct: st.Direct, Followers: uint32(st.Followers), Hosts: uint32(st.Hosts),
 	}
 }
--- a/node/entry/show_teams.go
+++ b/node/entry/show_teams.go
@@ -25,7 +25,7 @@
 		}
 		return byName[name]
 	}
-	for name, use := range h.limiter.Uses() {
+	for name, use := range h.limiter.UsageByTeam() {
 		t := of(name)
 		t.Admitted, t.Refused, t.Unconfirmed = uint64(use.Admitted), uint64(use.Refused), uint32(use.Unconfirmed)
 	}
--- a/node/entry/startup.go
+++ b/node/entry/startup.go
@@ -49,12 +49,12 @@
 		return true
 	}
 	now := clock.Now()
-	h.starting.Observe(len(hosts), h.registry.Remembered(), now)
+	h.starting.Observe(len(hosts), h.registry.RegisteredAtStart(), now)
 	if !h.starting.Stable(now) {
 		time.AfterFunc(h.starting.StableAt()-now, h.poke)
 		return false
 	}
 	h.fleetKnown = true
-	eventlog.FleetKnown.Info(h.log).Int("hosts", len(hosts)).Bool("remembered", h.registry.Remembered()).Send()
+	eventlog.FleetKnown.Info(h.log).Int("hosts", len(hosts)).Bool("remembered", h.registry.RegisteredAtStart()).Send()
 	return true
 }
--- a/node/entry/stop.go
+++ b/node/entry/stop.go
@@ -51,7 +51,7 @@
 func (h *Host) leave() {
 	ctx, cancel := context.WithTimeout(context.Background(), closeTimeout)
 	defer cancel()
-	if err := h.registry.Leave(ctx); err != nil {
+	if err := h.registry.Deregister(ctx); err != nil {
 		eventlog.PlatformUnreached.Info(h.log).Err(err).Str("call", "leave").Send()
 	}
 }
@@ -116,6 +116,6 @@
 
 // Kill ends the host at once, as a crash does.
 func (h *Host) Kill() {
-	h.registry.Abandon()
+	h.registry.AbandonLease()
 	h.close()
 }
--- a/node/limits/limiter.go
+++ b/node/limits/limiter.go
@@ -1,6 +1,6 @@
-// Package limits keeps the teams' limits on one host. The decisions are those of
-// core/quota; this package carries the requests to the hosts that count a team,
-// and holds the operations that wait for an answer.
+// Package limits enforces the teams' rate limits on one host. core/quota makes the
+// decisions; this package sends the requests to the hosts that count a team (its
+// counters) and queues the operations that wait for an answer.
 package limits
 
 import (
@@ -15,123 +15,124 @@
 )
 
 const (
-	// answerTime bounds the wait for one answer: a round trip between the regions
-	// that are furthest apart, 40 ms, and a busy host's turn.
-	answerTime = 60 * time.Millisecond
-	// tries is how often a counter is asked before the next one, because datagrams
-	// get lost.
-	tries = 2
-	// silentFor is how long a counter that has not answered is passed over: less
-	// than a process takes to start again.
-	silentFor = 400 * time.Millisecond
-	// staleAfter is the age at which an answer is dropped: this host has stood still,
-	// and the grant belongs to a window that is over.
-	staleAfter = 500 * time.Millisecond
+	// requestTimeout bounds one request. It allows for a round trip between the most
+	// distant regions and for scheduling delay on a busy host.
+	requestTimeout = 60 * time.Millisecond
+	// maxAttempts is the number of requests to one counter before the next counter is
+	// used; datagrams may be lost.
+	maxAttempts = 2
+	// unresponsiveBackoff is the time for which a counter that did not answer is skipped.
+	// It is shorter than the restart of a process.
+	unresponsiveBackoff = 400 * time.Millisecond
+	// maxRequestAge is the age at which the answer to a request is dropped. The process
+	// was paused then, and the grant belongs to a past window.
+	maxRequestAge = 500 * time.Millisecond
 )
 
-// AskFunc asks another host to grant operations of a team. It reports false
-// where no answer came.
-type AskFunc func(ctx context.Context, address, team string, wanted int) (quota.Grant, bool)
+// RequestGrantFunc asks another host to grant operations of a team. It reports false
+// if no answer came.
+type RequestGrantFunc func(ctx context.Context, address, team string, wanted int) (quota.Grant, bool)
 
-// Config is what a Limiter needs from its surroundings.
+// Config holds the settings and dependencies of a Limiter.
 type Config struct {
 	// Self is this host.
-	Self      quota.Host
-	Tolerance quota.Tolerance
-	Ask       AskFunc
-	// Remembered tells that this host was registered already when it started.
-	Remembered func() bool
-	// Limit returns the limit of a team in the newest configuration; false for a
-	// team that it does not have.
+	Self         quota.Host
+	Tolerance    quota.Tolerance
+	RequestGrant RequestGrantFunc
+	// RegisteredAtStart reports whether this host was still registered by an earlier
+	// process when it started. It is called with the limiter's lock held.
+	RegisteredAtStart func() bool
+	// Limit returns the limit of a team in the active configuration; false for an
+	// unknown team.
 	Limit func(team string) (quota.Limit, bool)
 }
 
-// Limiter decides on operations, and grants those that other hosts ask for. It
-// is safe for concurrent use; its lock is a leaf.
+// Limiter admits or refuses the operations of this host, and grants operations to other
+// hosts as a counter. It is safe for concurrent use.
 type Limiter struct {
 	cfg Config
 
-	// mu guards the fields below.
+	// mu guards the fields below. local decides on this host's operations, counter on
+	// those that hosts request from it.
 	mu      sync.Mutex
-	meter   *quota.Limiter
+	local   *quota.Limiter
 	counter *quota.Counter
-	// waiting holds the operations that wait for an answer, by team, the oldest
-	// first.
+	// waiting holds the operations that wait for a grant, by team, oldest first.
 	waiting map[string][]chan outcome
-	// hosts are the registered hosts, and addresses where they take datagrams.
+	// hosts are the registered hosts; addresses are their datagram addresses by name.
 	hosts     []quota.Host
 	addresses map[string]string
-	// placed are the placements that follow from hosts, by team.
-	placed map[string]placed
-	// silentUntil is until when a host is not asked at all, by name, and emptyUntil
-	// until when not for a team.
-	silentUntil map[string]time.Duration
-	emptyUntil  map[account]time.Duration
+	// placements caches the placement of each team for the current hosts.
+	placements map[string]cachedPlacement
+	// unresponsiveUntil is the time until which a counter is skipped, by host name;
+	// exhaustedUntil is the time until which it is skipped for one team.
+	unresponsiveUntil map[string]time.Duration
+	exhaustedUntil    map[counterKey]time.Duration
 }
 
-// placed is a placement and the limit that it was worked out for.
-type placed struct {
+// cachedPlacement is a placement and the limit that it was computed for.
+type cachedPlacement struct {
 	quota.Placement
 	limit quota.Limit
 }
 
-// account is a team at one of its counters.
-type account struct{ team, counter string }
+// counterKey identifies a team at one of its counters.
+type counterKey struct{ team, counter string }
 
-// outcome is what an operation that waited is told.
+// outcome is the answer to an operation that waited for a grant.
 type outcome struct {
-	runs       bool
+	admitted   bool
 	retryAfter time.Duration
 }
 
-// New returns a limiter that knows of no other host.
+// New returns a limiter that knows no other hosts until SetFleet is called.
 func New(cfg Config) *Limiter {
 	cfg.Tolerance = cfg.Tolerance.WithDefaults()
 	now := clock.Now()
 	return &Limiter{
-		cfg: cfg, meter: quota.NewLimiter(cfg.Tolerance, now), counter: quota.NewCounter(cfg.Tolerance, now),
-		waiting: map[string][]chan outcome{}, addresses: map[string]string{}, placed: map[string]placed{}, silentUntil: map[string]time.Duration{}, emptyUntil: map[account]time.Duration{},
+		cfg: cfg, local: quota.NewLimiter(cfg.Tolerance, now), counter: quota.NewCounter(cfg.Tolerance, now),
+		waiting: map[string][]chan outcome{}, addresses: map[string]string{}, placements: map[string]cachedPlacement{}, unresponsiveUntil: map[string]time.Duration{}, exhaustedUntil: map[counterKey]time.Duration{},
 	}
 }
 
-// SetFleet takes the hosts that are registered, with where they take datagrams. A
-// host that joins them takes teams over from others; one whose earlier life was
-// registered all the while it was down does not, as nobody has counted for it.
+// SetFleet sets the registered hosts and their datagram addresses by name. This host
+// takes over counting from others when it joins, or when a host leaves. It does not if
+// it was still registered during its restart, as no other host counted in its place.
 func (l *Limiter) SetFleet(hosts []quota.Host, addresses map[string]string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	_, listed := addresses[l.cfg.Self.Name]
 	_, wasListed := l.addresses[l.cfg.Self.Name]
-	takesOver := listed && !wasListed && !l.cfg.Remembered()
+	takesOver := listed && !wasListed && !l.cfg.RegisteredAtStart()
 	for name := range l.addresses {
-		_, stays := addresses[name]
-		takesOver = takesOver || !stays
+		_, remains := addresses[name]
+		takesOver = takesOver || !remains
 	}
 	if takesOver {
 		l.counter.TakeOver(clock.Now())
 	}
 	l.hosts, l.addresses = hosts, addresses
-	clear(l.placed)
-	clear(l.emptyUntil)
+	clear(l.placements)
+	clear(l.exhaustedUntil)
 }
 
-// Admit decides on one operation of a team; it may wait for the counter. It
-// reports false for one that is refused, and when it is of use to come back.
+// Admit decides on one operation of a team and may wait for a grant. If it reports
+// false, the operation is refused and may be retried after the returned time.
 func (l *Limiter) Admit(ctx context.Context, team catalog.Team) (time.Duration, bool) {
 	if !team.Limit.Bounded {
 		return 0, true
 	}
 	now := clock.Now()
 	l.mu.Lock()
-	place := l.placeOf(team.Name, team.Limit)
-	d := l.meter.Admit(team.Name, team.Limit, place.MaxUnconfirmed, now)
+	placement := l.placementOf(team.Name, team.Limit)
+	d := l.local.Admit(team.Name, team.Limit, placement.MaxUnconfirmed, now)
 	var ch chan outcome
 	if d.Verdict == quota.Pending {
 		ch = make(chan outcome, 1)
 		l.waiting[team.Name] = append(l.waiting[team.Name], ch)
 	}
 	if d.Verdict != quota.Refused {
-		l.askNow(team, place, now)
+		l.startRequest(team, placement, now)
 	}
 	l.mu.Unlock()
 	if ch == nil {
@@ -139,32 +140,32 @@
 	}
 	select {
 	case o := <-ch:
-		return o.retryAfter, o.runs
+		return o.retryAfter, o.admitted
 	case <-ctx.Done():
-		// The caller has left; the place in the queue is answered in its turn.
+		// The queue entry remains and is answered in its turn.
 		return 0, false
 	}
 }
 
-// Refund takes back an operation that was admitted and that no member has run.
+// Refund returns an admitted operation that no member has run.
 func (l *Limiter) Refund(team catalog.Team) {
 	if !team.Limit.Bounded {
 		return
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.meter.Refund(team.Name)
+	l.local.Refund(team.Name)
 }
 
-// Uses returns the use of every team that is active here.
-func (l *Limiter) Uses() map[string]quota.Usage {
+// UsageByTeam returns the usage of every team that is active on this host.
+func (l *Limiter) UsageByTeam() map[string]quota.Usage {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.meter.UsageByTeam()
+	return l.local.UsageByTeam()
 }
 
-// CountersOf returns the hosts that count a team, in the order in which this one
-// asks them.
+// CountersOf returns the names of a team's counters, in the order in which this host
+// requests grants from them.
 func (l *Limiter) CountersOf(team string) []string {
 	limit, known := l.cfg.Limit(team)
 	if !known {
@@ -172,29 +173,29 @@
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.placeOf(team, limit).Counters
+	return l.placementOf(team, limit).Counters
 }
 
-// Acquire grants operations that a host asks for.
+// Acquire grants operations that another host requests from this one.
 func (l *Limiter) Acquire(team string, wanted int) quota.Grant {
 	limit, known := l.cfg.Limit(team)
 	if !known {
-		// The host that asks has a newer configuration than this one.
-		return quota.Grant{RetryAfter: silentFor}
+		// The requesting host has a newer configuration than this one.
+		return quota.Grant{RetryAfter: unresponsiveBackoff}
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	place := l.placeOf(team, limit)
-	if !slices.Contains(place.Counters, l.cfg.Self.Name) {
-		// The hosts do not agree on who is registered yet.
-		return quota.Grant{RetryAfter: answerTime}
+	placement := l.placementOf(team, limit)
+	if !slices.Contains(placement.Counters, l.cfg.Self.Name) {
+		// The two hosts have different views of the registered hosts.
+		return quota.Grant{RetryAfter: requestTimeout}
 	}
-	return l.counter.Acquire(team, limit, len(place.Counters), wanted, clock.Now())
+	return l.counter.Acquire(team, limit, len(placement.Counters), wanted, clock.Now())
 }
 
-// placeOf is called with mu held.
-func (l *Limiter) placeOf(team string, limit quota.Limit) quota.Placement {
-	p, found := l.placed[team]
+// placementOf is called with mu held.
+func (l *Limiter) placementOf(team string, limit quota.Limit) quota.Placement {
+	p, found := l.placements[team]
 	if found && p.limit == limit {
 		return p.Placement
 	}
@@ -202,40 +203,41 @@
 	if len(hosts) == 0 {
 		hosts = []quota.Host{l.cfg.Self}
 	}
-	p = placed{Placement: quota.Place(team, limit, l.cfg.Tolerance, hosts, l.cfg.Self), limit: limit}
-	l.placed[team] = p
+	p = cachedPlacement{Placement: quota.Place(team, limit, l.cfg.Tolerance, hosts, l.cfg.Self), limit: limit}
+	l.placements[team] = p
 	return p.Placement
 }
 
-// askNow asks for what is owed and waited for, unless that is under way. It is
-// called with mu held.
-func (l *Limiter) askNow(team catalog.Team, place quota.Placement, now time.Duration) {
-	wanted := l.meter.NextRequest(team.Name, now)
+// startRequest requests grants for unconfirmed and waiting operations, unless a request
+// is in progress. It is called with mu held.
+func (l *Limiter) startRequest(team catalog.Team, placement quota.Placement, now time.Duration) {
+	wanted := l.local.NextRequest(team.Name, now)
 	if wanted == 0 {
 		return
 	}
-	if place.Counters[0] != l.cfg.Self.Name {
-		go l.ask(team, place.Counters, wanted, quota.Grant{})
+	if placement.Counters[0] != l.cfg.Self.Name {
+		go l.requestGrants(team, placement.Counters, wanted, quota.Grant{})
 		return
 	}
-	g := l.counter.Acquire(team.Name, team.Limit, len(place.Counters), wanted, now)
+	g := l.counter.Acquire(team.Name, team.Limit, len(placement.Counters), wanted, now)
 	if g.Granted == wanted {
-		l.settle(team, g, now)
+		l.applyGrant(team, g, now)
 		return
 	}
-	l.emptyUntil[account{team.Name, l.cfg.Self.Name}] = now + g.RetryAfter
-	go l.ask(team, place.Counters[1:], wanted, g)
+	l.exhaustedUntil[counterKey{team.Name, l.cfg.Self.Name}] = now + g.RetryAfter
+	go l.requestGrants(team, placement.Counters[1:], wanted, g)
 }
 
-// ask asks counters in turn for what is not granted yet, and settles what has come of it.
-// Without any answer, the operations are refused and what has run stays unconfirmed.
-func (l *Limiter) ask(team catalog.Team, counters []string, wanted int, sum quota.Grant) {
-	asked := clock.Now()
+// requestGrants asks counters in turn for the operations that are not granted yet, and
+// applies the sum. Without any answer, waiting operations are refused and operations
+// that have run stay unconfirmed.
+func (l *Limiter) requestGrants(team catalog.Team, counters []string, wanted int, sum quota.Grant) {
+	start := clock.Now()
 	for _, counter := range counters {
 		if sum.Granted == wanted {
 			break
 		}
-		g := l.askOne(counter, team.Name, wanted-sum.Granted)
+		g := l.requestFrom(counter, team.Name, wanted-sum.Granted)
 		sum.Granted += g.Granted
 		if sum.RetryAfter == 0 || (g.RetryAfter > 0 && g.RetryAfter < sum.RetryAfter) {
 			sum.RetryAfter = g.RetryAfter
@@ -244,81 +246,83 @@
 	now := clock.Now()
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if now-asked > staleAfter {
-		l.tell(team.Name, 0, l.meter.RequestFailed(team.Name, now), answerTime)
+	if now-start > maxRequestAge {
+		l.answerWaiting(team.Name, 0, l.local.RequestFailed(team.Name, now), requestTimeout)
 		return
 	}
 	if sum.Granted == wanted {
 		sum.RetryAfter = 0
 	}
-	l.settle(team, sum, now)
+	l.applyGrant(team, sum, now)
 }
 
-// settle takes a grant and asks again for what has come meanwhile. It is called
-// with mu held.
-func (l *Limiter) settle(team catalog.Team, g quota.Grant, now time.Duration) {
-	run, refused := l.meter.ApplyGrant(team.Name, g, now)
-	l.tell(team.Name, run, refused, g.RetryAfter)
-	l.askNow(team, l.placeOf(team.Name, team.Limit), now)
+// applyGrant applies a grant and starts a request for operations that have arrived
+// meanwhile. It is called with mu held.
+func (l *Limiter) applyGrant(team catalog.Team, g quota.Grant, now time.Duration) {
+	admitted, refused := l.local.ApplyGrant(team.Name, g, now)
+	l.answerWaiting(team.Name, admitted, refused, g.RetryAfter)
+	l.startRequest(team, l.placementOf(team.Name, team.Limit), now)
 }
 
-// tell answers the operations that have waited longest. It is called with mu held.
-func (l *Limiter) tell(team string, run, refused int, retryAfter time.Duration) {
+// answerWaiting answers the operations that have waited longest: first those that are
+// admitted, then those that are refused. It is called with mu held.
+func (l *Limiter) answerWaiting(team string, admitted, refused int, retryAfter time.Duration) {
 	queue := l.waiting[team]
-	for i := range min(run+refused, len(queue)) {
-		queue[i] <- outcome{runs: i < run, retryAfter: retryAfter}
+	for i := range min(admitted+refused, len(queue)) {
+		queue[i] <- outcome{admitted: i < admitted, retryAfter: retryAfter}
 	}
-	l.waiting[team] = queue[min(run+refused, len(queue)):]
+	l.waiting[team] = queue[min(admitted+refused, len(queue)):]
 	if len(l.waiting[team]) == 0 {
 		delete(l.waiting, team)
 	}
 }
 
-// askOne asks one counter, some times, unless it has just been silent or had nothing
-// left. No answer grants nothing.
-func (l *Limiter) askOne(counter, team string, wanted int) quota.Grant {
-	address, wait := l.usable(counter, team)
-	if wait > 0 {
-		return quota.Grant{RetryAfter: wait}
+// requestFrom requests a grant from one counter, with maxAttempts, unless the counter
+// is to be skipped. Without an answer nothing is granted.
+func (l *Limiter) requestFrom(counter, team string, wanted int) quota.Grant {
+	address, skipFor := l.counterAddress(counter, team)
+	if skipFor > 0 {
+		return quota.Grant{RetryAfter: skipFor}
 	}
-	for range tries {
-		ctx, cancel := context.WithTimeout(context.Background(), answerTime)
-		g, answered := l.cfg.Ask(ctx, address, team, wanted)
+	for range maxAttempts {
+		ctx, cancel := context.WithTimeout(context.Background(), requestTimeout)
+		g, answered := l.cfg.RequestGrant(ctx, address, team, wanted)
 		cancel()
 		if answered {
-			l.noteEmpty(counter, team, g)
+			l.markExhausted(counter, team, g)
 			return g
 		}
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.silentUntil[counter] = clock.Now() + silentFor
-	return quota.Grant{RetryAfter: silentFor}
+	l.unresponsiveUntil[counter] = clock.Now() + unresponsiveBackoff
+	return quota.Grant{RetryAfter: unresponsiveBackoff}
 }
 
-// noteEmpty remembers that a counter has nothing left for a team.
-func (l *Limiter) noteEmpty(counter, team string, g quota.Grant) {
+// markExhausted has a counter skipped for a team if it had not enough left to grant.
+func (l *Limiter) markExhausted(counter, team string, g quota.Grant) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if g.RetryAfter > 0 {
-		l.emptyUntil[account{team, counter}] = clock.Now() + g.RetryAfter
+		l.exhaustedUntil[counterKey{team, counter}] = clock.Now() + g.RetryAfter
 	}
 }
 
-// usable returns where a counter takes datagrams, or how long it is not to be asked.
-func (l *Limiter) usable(counter, team string) (string, time.Duration) {
+// counterAddress returns the datagram address of a counter, or the time for which the
+// counter is to be skipped.
+func (l *Limiter) counterAddress(counter, team string) (string, time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := clock.Now()
-	until := max(l.silentUntil[counter], l.emptyUntil[account{team, counter}])
+	until := max(l.unresponsiveUntil[counter], l.exhaustedUntil[counterKey{team, counter}])
 	address, known := l.addresses[counter]
 	switch {
 	case now < until:
 		return "", until - now
 	case !known:
-		return "", silentFor
+		return "", unresponsiveBackoff
 	}
-	delete(l.silentUntil, counter)
-	delete(l.emptyUntil, account{team, counter})
+	delete(l.unresponsiveUntil, counter)
+	delete(l.exhaustedUntil, counterKey{team, counter})
 	return address, 0
 }
--- a/node/peer/compress_test.go
+++ b/node/peer/compress_test.go
@@ -34,8 +34,8 @@
 	return store.Listing{Revision: 7, Items: []store.Item{{Key: "config", Value: bytes.Repeat([]byte("route "), 17_000)}}}
 }
 
-func (answering) Configuration(uint64) []byte                                           { return nil }
-func (answering) Tell(context.Context, store.Revision, func(registry.News) error) error { return nil }
+func (answering) Configuration(uint64) []byte                                             { return nil }
+func (answering) Tell(context.Context, store.Revision, func(registry.Update) error) error { return nil }
 
 func (answering) Detached(string) {}
 
--- a/node/peer/gate_client.go
+++ b/node/peer/gate_client.go
@@ -147,7 +147,7 @@
 
 // Follow has another host tell what changes in the store after a revision, until
 // the context or the stream ends.
-func (c *GateClient) Follow(ctx context.Context, address string, after store.Revision, take func(registry.News)) error {
+func (c *GateClient) Follow(ctx context.Context, address string, after store.Revision, take func(registry.Update)) error {
 	stream, err := c.gate(address).client.Follow(ctx, connect.NewRequest(&peerpb.FollowRequest{After: uint64(after)}))
 	if err != nil {
 		return callError(address, err)
@@ -155,7 +155,7 @@
 	defer func() { _ = stream.Close() }()
 	for stream.Receive() {
 		m := stream.Msg()
-		take(registry.News{
+		take(registry.Update{
 			Listing:  store.Listing{Revision: store.Revision(m.GetRevision()), Items: itemsFromProto(m.GetItems())},
 			Complete: m.GetComplete(),
 		})
--- a/node/peer/gate_server.go
+++ b/node/peer/gate_server.go
@@ -22,7 +22,7 @@
 	// Configuration returns the document in force if it is above a version.
 	Configuration(above uint64) []byte
 	// Tell tells a follower what changes in the store after a revision.
-	Tell(ctx context.Context, after store.Revision, send func(registry.News) error) error
+	Tell(ctx context.Context, after store.Revision, send func(registry.Update) error) error
 	// Detached tells that the host that owns transactions is gone.
 	Detached(owner string)
 }
@@ -70,7 +70,7 @@
 
 // Follow implements the generated interface.
 func (s *gateServer) Follow(ctx context.Context, req *connect.Request[peerpb.FollowRequest], stream *connect.ServerStream[peerpb.FollowResponse]) error {
-	err := s.handler.Tell(ctx, store.Revision(req.Msg.GetAfter()), func(n registry.News) error {
+	err := s.handler.Tell(ctx, store.Revision(req.Msg.GetAfter()), func(n registry.Update) error {
 		return stream.Send(&peerpb.FollowResponse{Revision: uint64(n.Revision), Items: itemsToProto(n.Items), Complete: n.Complete})
 	})
 	return connect.NewError(connect.CodeUnavailable, err)
--- a/node/registry/apply.go
+++ b/node/registry/apply.go
@@ -11,53 +11,53 @@
 	"github.com/dotterelswitch/dotterelswitch/node/eventlog"
 )
 
-func (r *Registry) noteAway(err error) {
+func (r *Registry) markUnreachable(err error) {
 	r.mu.Lock()
-	was := r.away
-	r.away = true
-	if !was {
-		r.awaySince = clock.Now()
+	wasUnreachable := r.unreachable
+	r.unreachable = true
+	if !wasUnreachable {
+		r.unreachableSince = clock.Now()
 	}
 	r.mu.Unlock()
-	if !was {
+	if !wasUnreachable {
 		eventlog.PlatformUnreached.Warn(r.log).Err(err).Send()
 	}
 }
 
-// noteReached has the host register without delay if it could not before.
-func (r *Registry) noteReached() { signal(r.reached) }
+// signalStoreReached lets a registration that failed before be retried without delay.
+func (r *Registry) signalStoreReached() { notify(r.storeReached) }
 
-// signal makes a channel ready unless it is.
-func signal(ch chan<- struct{}) {
+// notify sends a signal on a channel of capacity one unless one is pending.
+func notify(ch chan<- struct{}) {
 	select {
 	case ch <- struct{}{}:
 	default:
 	}
 }
 
-// forgetReached drops a signal that is older than the attempt that begins now.
-func (r *Registry) forgetReached() {
+// clearStoreReached drops a signal from before the registration attempt that starts now.
+func (r *Registry) clearStoreReached() {
 	select {
-	case <-r.reached:
+	case <-r.storeReached:
 	default:
 	}
 }
 
-// noteBack is called with mu held.
-func (r *Registry) noteBack() {
-	if r.away {
-		r.away = false
-		r.noteReached()
+// markReachable is called with mu held.
+func (r *Registry) markReachable() {
+	if r.unreachable {
+		r.unreachable = false
+		r.signalStoreReached()
 		eventlog.PlatformReached.Info(r.log).Stringer("revision", r.revision).Send()
 	}
 }
 
-// errOlderEpoch is an answer that was given before the store returned from a copy,
-// to a host that has heard of the store since.
+// errOlderEpoch reports an answer from before the store was restored from a backup,
+// when this host already has data from after it.
 var errOlderEpoch = errors.New("the answer is of an older epoch of the store")
 
-// replace takes a complete listing. It fails on one of an older epoch than this host
-// has heard of.
+// replace applies a complete listing. It returns errOlderEpoch for a listing of an
+// older epoch than the local copy's.
 func (r *Registry) replace(l store.Listing) error {
 	now := clock.Now()
 	r.mu.Lock()
@@ -65,10 +65,10 @@
 		r.mu.Unlock()
 		return errOlderEpoch
 	}
-	restored := r.noteEpoch(l.Revision)
-	r.noteBack()
-	r.countNews(len(l.Items))
-	r.own = newOwnKeys()
+	restored := r.detectRestore(l.Revision)
+	r.markReachable()
+	r.countReceived(len(l.Items))
+	r.coordination = newCoordinationKeys()
 	r.roster.Replace(registrationsIn(l), l.Revision.Epoch(), now)
 	clear(r.items)
 	var entries []directory.Entry
@@ -76,108 +76,108 @@
 		if e, ok := r.decodeEntry(i); ok {
 			entries = append(entries, e)
 		} else {
-			r.takeItem(i)
+			r.applyOtherKey(i)
 		}
-		r.remember(i)
+		r.cacheItem(i)
 	}
-	r.keepDocument(l.Revision)
+	r.keepActiveConfig(l.Revision)
 	r.directory.Replace(entries, l.Revision, now)
 	r.expire(now)
 	r.scheduleExpiry()
 	if _, known := r.items[hostKey(r.self.Name)]; restored && !known {
-		signal(r.lapsed)
+		notify(r.registrationLost)
 	}
-	if r.heardAt == 0 {
-		r.noteRemembered()
-		r.noteReached()
+	if r.lastContact == 0 {
+		r.recordRegisteredAtStart()
+		r.signalStoreReached()
 	}
-	r.heardAt = now
+	r.lastContact = now
 	r.revision, r.listed = l.Revision, true
-	r.forgetHistory()
+	r.resetHistory()
 	r.mu.Unlock()
 	r.changed()
 	return nil
 }
 
-// noteEpoch reports whether the store has returned from an older copy since this
-// host last heard of it, and logs it. It is called with mu held.
-func (r *Registry) noteEpoch(next store.Revision) bool {
-	if r.heardAt == 0 || next.Epoch() <= r.revision.Epoch() {
+// detectRestore reports, and logs, whether the store has been restored from a backup
+// since the last contact. It is called with mu held.
+func (r *Registry) detectRestore(next store.Revision) bool {
+	if r.lastContact == 0 || next.Epoch() <= r.revision.Epoch() {
 		return false
 	}
 	eventlog.StoreRestored.Warn(r.log).Stringer("revision", next).Stringer("was", r.revision).Send()
 	return true
 }
 
-// apply takes the events of a watch.
+// apply applies the changes that a watch returned.
 func (r *Registry) apply(l store.Listing) {
 	now := clock.Now()
 	r.mu.Lock()
-	r.noteBack()
-	r.countNews(len(l.Items))
-	r.heardAt = now
+	r.markReachable()
+	r.countReceived(len(l.Items))
+	r.lastContact = now
 	r.revision = max(r.revision, l.Revision)
-	var news []store.Item
-	most := nothingNew
+	var changes []store.Item
+	strongest := noEffect
 	for _, i := range l.Items {
 		before, known := r.items[i.Key]
-		e := r.takeEvent(i, now)
-		i = r.remember(i)
-		if e != nothingNew || r.changesEntry(before, known, i) {
-			news = append(news, i)
+		e := r.applyChange(i, now)
+		i = r.cacheItem(i)
+		if e != noEffect || r.entryChanged(before, known, i) {
+			changes = append(changes, i)
 		}
-		most = max(most, e)
+		strongest = max(strongest, e)
 	}
-	r.scheduleRecheck()
-	if len(news) > 0 {
-		r.record(news)
+	r.scheduleRelist()
+	if len(changes) > 0 {
+		r.appendHistory(changes)
 	}
 	r.mu.Unlock()
-	if most == rerouted {
+	if strongest == routingChanged {
 		r.changed()
 	}
 }
 
-// takeEvent takes one change. It is called with mu held.
-func (r *Registry) takeEvent(i store.Item, now time.Duration) effect {
+// applyChange applies one change. It is called with mu held.
+func (r *Registry) applyChange(i store.Item, now time.Duration) effect {
 	if id, ok := r.docs.MemberID(i.Key); ok {
-		return r.takeMember(id, i, now)
+		return r.applyMember(id, i, now)
 	}
 	if reg, ok := registrationOf(i); ok {
-		r.takeRegistration(reg, i.Deleted, now)
-		return rerouted
+		r.applyRegistration(reg, i.Deleted, now)
+		return routingChanged
 	}
-	return r.takeItem(i)
+	return r.applyOtherKey(i)
 }
 
-func (r *Registry) takeMember(id string, i store.Item, now time.Duration) effect {
+func (r *Registry) applyMember(id string, i store.Item, now time.Duration) effect {
 	if i.Deleted {
 		delete(r.unreadable, i.Key)
 		r.directory.MarkMissing(id, i.Revision, now)
-		return rerouted
+		return routingChanged
 	}
 	e, ok := r.decodeEntry(i)
 	if !ok {
-		// A member that is alive writes over it with its next heartbeat.
+		// A live member overwrites the unreadable entry with its next heartbeat.
 		r.directory.MarkMissing(id, i.Revision, now)
-		return rerouted
+		return routingChanged
 	}
 	switch {
 	case r.directory.Put(e, now):
-		return rerouted
+		return routingChanged
 	case r.directory.StartTimeDisputed(id):
-		// Followers need both entries of an earlier start time to believe it.
-		return noted
+		// An earlier start time is accepted only after two entries in a row, so followers
+		// need both.
+		return stateChanged
 	default:
-		return nothingNew
+		return noEffect
 	}
 }
 
-// changesEntry reports whether a change makes a member's entry another one than
-// this host was told by the store. Followers have to hear of that even if this host
-// knows it already, from a host that reached the store sooner. It is called with mu
-// held.
-func (r *Registry) changesEntry(before store.Item, known bool, i store.Item) bool {
+// entryChanged reports whether a member's entry differs from the last one that was
+// received by watch or listing, apart from revision and sequence. Followers need such a
+// change even if this host already learned it from a peer. It is called with mu held.
+func (r *Registry) entryChanged(before store.Item, known bool, i store.Item) bool {
 	if _, ok := r.docs.MemberID(i.Key); !ok {
 		return false
 	}
@@ -188,14 +188,14 @@
 	if err != nil {
 		return true
 	}
-	now, err := r.docs.Entry(i)
-	old.Revision, old.Sequence = now.Revision, now.Sequence
-	return err != nil || old != now
+	updated, err := r.docs.Entry(i)
+	old.Revision, old.Sequence = updated.Revision, updated.Sequence
+	return err != nil || old != updated
 }
 
-// decodeEntry decodes a member's entry; it reports false for other keys and
-// for entries that cannot be read, which are logged once a change. It is called
-// with mu held.
+// decodeEntry decodes a member's entry. It reports false for other keys and for
+// entries that cannot be decoded, which are logged once per revision. It is called with
+// mu held.
 func (r *Registry) decodeEntry(i store.Item) (directory.Entry, bool) {
 	if _, ok := r.docs.MemberID(i.Key); !ok || i.Deleted {
 		return directory.Entry{}, false
@@ -205,32 +205,33 @@
 		delete(r.unreadable, i.Key)
 		return e, true
 	}
-	if seen, found := r.unreadable[i.Key]; !found || seen < i.Revision {
+	if logged, found := r.unreadable[i.Key]; !found || logged < i.Revision {
 		r.unreadable[i.Key] = i.Revision
 		eventlog.EntryUnreadable.Warn(r.log).Err(err).Str("key", i.Key).Stringer("revision", i.Revision).Send()
 	}
 	return directory.Entry{}, false
 }
 
-// takeItem takes a key that is not a member's. It is called with mu held.
-func (r *Registry) takeItem(i store.Item) effect {
+// applyOtherKey applies a change of the configuration or of a coordination key. It is
+// called with mu held.
+func (r *Registry) applyOtherKey(i store.Item) effect {
 	if i.Key != r.docs.ConfigKey() {
-		return r.own.take(i)
+		return r.coordination.apply(i)
 	}
 	if i.Deleted {
-		return nothingNew
+		return noEffect
 	}
-	return r.takeConfig(i.Value)
+	return r.applyConfig(i.Value)
 }
 
-// scheduleRecheck lists once more when the grace period of a lost entry is
+// scheduleRelist lists the members again when the grace period of a missing entry is
 // over. It is called with mu held.
-func (r *Registry) scheduleRecheck() {
-	if r.recheck || !r.hasMissing() {
+func (r *Registry) scheduleRelist() {
+	if r.relistScheduled || !r.hasMissing() {
 		return
 	}
-	r.recheck = true
-	time.AfterFunc(tidyAfter, r.relistMembers)
+	r.relistScheduled = true
+	time.AfterFunc(relistDelay, r.relistMembers)
 }
 
 func (r *Registry) hasMissing() bool {
@@ -242,15 +243,15 @@
 	return false
 }
 
-// relistMembers asks whether lost entries are back. Only the store's own word
-// makes a member gone; while the store is away it stays.
+// relistMembers lists the members again and removes those that are still missing. If
+// the listing fails, no member is removed.
 func (r *Registry) relistMembers() {
 	ctx, cancel := context.WithTimeout(context.Background(), listTimeout)
 	defer cancel()
 	l, err := r.listMembers(ctx)
 	now := clock.Now()
 	r.mu.Lock()
-	r.recheck = false
+	r.relistScheduled = false
 	if err == nil {
 		var entries []directory.Entry
 		for _, i := range l.Items {
@@ -261,24 +262,25 @@
 		r.directory.Replace(entries, l.Revision, now)
 		r.expire(now)
 	}
-	r.scheduleRecheck()
+	r.scheduleRelist()
 	r.mu.Unlock()
 	r.changed()
 }
 
-// listMembers lists the members' entries: from the store, or for a host that
-// follows another one, from what that one has told.
+// listMembers lists the members' entries from the store, or from the local copy if this
+// host follows a relay.
 func (r *Registry) listMembers(ctx context.Context) (store.Listing, error) {
-	if l, follows := r.heard(); follows {
+	if l, follows := r.relayedListing(); follows {
 		return l, nil
 	}
 	return r.store.Range(ctx, r.docs.MemberPrefix())
 }
 
-// expire drops members whose entries stayed away. It is called with mu held.
+// expire removes members whose entries are missing for longer than the grace period.
+// It is called with mu held.
 func (r *Registry) expire(now time.Duration) {
 	for _, m := range r.directory.Expire(now) {
 		eventlog.UpstreamGone.Info(r.log).Str("upstream", m.ID).Str("reason", "its entry stayed away").Send()
 	}
-	r.scheduleRecheck()
+	r.scheduleRelist()
 }
--- a/node/registry/configuration.go
+++ b/node/registry/configuration.go
@@ -11,36 +11,36 @@
 	"github.com/dotterelswitch/dotterelswitch/node/eventlog"
 )
 
-// AskConfigFunc asks the host at an address for its configuration document; nil
-// where it has none above a version.
-type AskConfigFunc func(ctx context.Context, address string, above uint64) ([]byte, error)
+// FetchConfigFunc fetches the configuration document of the host at an address. It
+// returns nil if that host has no version above the given one.
+type FetchConfigFunc func(ctx context.Context, address string, above uint64) ([]byte, error)
 
 const (
-	// askConfigTime bounds the wait of a host that starts for the others' answers:
-	// three round trips between regions, and a connection to open. Callers wait
-	// meanwhile.
-	askConfigTime = 300 * time.Millisecond
-	// askedForConfig is how many hosts it asks: one may be lost, and one may have
-	// started just as this one.
-	askedForConfig = 3
+	// fetchConfigTimeout bounds the time for which a starting host waits for its peers'
+	// configuration. It allows for a new connection and three round trips between
+	// regions; callers wait meanwhile.
+	fetchConfigTimeout = 300 * time.Millisecond
+	// configPeers is the number of peers that are asked, since one may be down and one
+	// may have just started too.
+	configPeers = 3
 )
 
-// takeConfig takes the operators' document as the store has it. It is called with mu
+// applyConfig applies the configuration document of the store. It is called with mu
 // held.
-func (r *Registry) takeConfig(document []byte) effect {
+func (r *Registry) applyConfig(document []byte) effect {
 	next, ok := r.decodeConfig(document)
 	if !ok {
-		return nothingNew
+		return noEffect
 	}
-	if r.catalog == nil && r.askConfig != nil && r.roster.MayHaveNewerConfig(next.Version) {
-		r.hold(next, document)
-		return nothingNew
+	if r.catalog == nil && r.fetchConfig != nil && r.roster.MayHaveNewerConfig(next.Version) {
+		r.deferConfig(next, document)
+		return noEffect
 	}
-	r.putInForce(next, document)
-	return rerouted
+	r.activateConfig(next, document)
+	return routingChanged
 }
 
-// decodeConfig decodes a document; one that cannot be used is logged.
+// decodeConfig decodes a document; an invalid one is logged.
 func (r *Registry) decodeConfig(document []byte) (*catalog.Catalog, bool) {
 	next, err := r.docs.Catalog(document)
 	if err != nil {
@@ -50,69 +50,69 @@
 	return next, true
 }
 
-// putInForce puts a configuration in force unless a newer one is. It is called with
-// mu held.
-func (r *Registry) putInForce(next *catalog.Catalog, document []byte) {
+// activateConfig makes a configuration active unless a newer one is active. It is
+// called with mu held.
+func (r *Registry) activateConfig(next *catalog.Catalog, document []byte) {
 	current := r.catalog
 	r.catalog = catalog.Newer(current, next)
 	if r.catalog == current {
 		return
 	}
-	r.document = document
+	r.configDocument = document
 	eventlog.ConfigInForce.Info(r.log).Uint64("version", next.Version).Int("routes", next.Len()).Send()
 }
 
-// withDocument returns the item of the configuration as this host passes it on: the
-// document in force, whatever an older copy of the store holds. It is called with mu
-// held.
-func (r *Registry) withDocument(i store.Item) store.Item {
-	if r.document != nil {
-		i.Value = r.document
+// withActiveConfig returns the item of the configuration with the active document as
+// its value. A restored store may hold an older version, which must not reach
+// followers. It is called with mu held.
+func (r *Registry) withActiveConfig(i store.Item) store.Item {
+	if r.configDocument != nil {
+		i.Value = r.configDocument
 	}
 	return i
 }
 
-// keepDocument has the configuration passed on that a listing lacks. It is called
-// with mu held.
-func (r *Registry) keepDocument(at store.Revision) {
+// keepActiveConfig adds the active configuration to the local copy if a listing lacks
+// it. It is called with mu held.
+func (r *Registry) keepActiveConfig(at store.Revision) {
 	key := r.docs.ConfigKey()
-	if _, found := r.items[key]; !found && r.document != nil {
-		r.items[key] = store.Item{Key: key, Value: r.document, Revision: at}
+	if _, found := r.items[key]; !found && r.configDocument != nil {
+		r.items[key] = store.Item{Key: key, Value: r.configDocument, Revision: at}
 	}
 }
 
-// heldConfig is a configuration that is not in force yet.
-type heldConfig struct {
+// pendingConfig is a configuration that is not active yet.
+type pendingConfig struct {
 	catalog  *catalog.Catalog
 	document []byte
 }
 
-// hold keeps the store's configuration back while this host, which has just started,
-// asks others for a newer one. It is called with mu held and does not wait.
-func (r *Registry) hold(stored *catalog.Catalog, document []byte) {
-	asking := r.held != nil
-	if !asking || r.held.catalog.Version < stored.Version {
-		r.held = &heldConfig{catalog: stored, document: document}
+// deferConfig delays the activation of the store's configuration on a starting host
+// until peers were asked for a newer one. It is called with mu held and does not wait.
+func (r *Registry) deferConfig(stored *catalog.Catalog, document []byte) {
+	fetching := r.pendingConfig != nil
+	if !fetching || r.pendingConfig.catalog.Version < stored.Version {
+		r.pendingConfig = &pendingConfig{catalog: stored, document: document}
 	}
-	if asking {
+	if fetching {
 		return
 	}
-	// This host may be among them.
-	asked := r.roster.HostsWithNewestConfig(askedForConfig+1, r.newRand())
+	// One more, because this host may be among them.
+	peers := r.roster.HostsWithNewestConfig(configPeers+1, r.newRand())
 	go func() {
-		r.askAll(asked, stored.Version)
+		r.fetchConfigFromAll(peers, stored.Version)
 		r.mu.Lock()
-		r.putInForce(r.held.catalog, r.held.document)
-		r.held = nil
+		r.activateConfig(r.pendingConfig.catalog, r.pendingConfig.document)
+		r.pendingConfig = nil
 		r.mu.Unlock()
 		r.changed()
 	}()
 }
 
-// askAll asks hosts for a configuration above a version, and returns when all have
-// answered or the time is over.
-func (r *Registry) askAll(hosts []gates.Host, above uint64) {
-	ctx, cancel := context.WithTimeout(context.Background(), askConfigTime)
+// fetchConfigFromAll asks hosts for a configuration above a version, and returns when
+// all have answered or fetchConfigTimeout is over.
+func (r *Registry) fetchConfigFromAll(hosts []gates.Host, above uint64) {
+	ctx, cancel := context.WithTimeout(context.Background(), fetchConfigTimeout)
 	defer cancel()
 	var wg sync.WaitGroup
 	for _, h := range hosts {
@@ -120,19 +120,20 @@
 			continue
 		}
 		wg.Go(func() {
-			document, err := r.askConfig(ctx, h.Address, above)
+			document, err := r.fetchConfig(ctx, h.Address, above)
 			if err != nil {
-				r.log.Debug().Err(err).Str("peer", h.Name).Msg("a peer did not tell its configuration")
+				r.log.Debug().Err(err).Str("peer", h.Name).Msg("fetching the configuration from a peer failed")
 				return
 			}
-			r.takeAnswer(document)
+			r.applyFetchedConfig(document)
 		})
 	}
 	wg.Wait()
 }
 
-// takeAnswer takes the configuration that another host runs on, if it has told one.
-func (r *Registry) takeAnswer(document []byte) {
+// applyFetchedConfig activates the configuration that a peer sent; empty means that it
+// has no newer one.
+func (r *Registry) applyFetchedConfig(document []byte) {
 	if len(document) == 0 {
 		return
 	}
@@ -141,18 +142,18 @@
 		return
 	}
 	r.mu.Lock()
-	r.putInForce(next, document)
+	r.activateConfig(next, document)
 	r.mu.Unlock()
 	r.changed()
 }
 
-// ConfigDocument returns the document in force if it is above a version; nil
-// otherwise.
+// ConfigDocument returns the active configuration document if its version is above the
+// given one; nil otherwise.
 func (r *Registry) ConfigDocument(above uint64) []byte {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.catalog == nil || r.catalog.Version <= above {
 		return nil
 	}
-	return r.document
+	return r.configDocument
 }
--- /dev/null
+++ b/node/registry/coordination_keys.go
@@ -0,0 +1,88 @@
+package registry
+
+import (
+	"strconv"
+	"strings"
+
+	"github.com/dotterelswitch/dotterelswitch/core/store"
+	"github.com/dotterelswitch/dotterelswitch/core/succession"
+)
+
+// Prefixes of the keys that hosts write for each other.
+const (
+	keyPrefix       = "dotterelswitch/"
+	hostPrefix      = keyPrefix + "hosts/"
+	suspicionPrefix = keyPrefix + "suspects/"
+	lockPrefix      = keyPrefix + "locks/"
+)
+
+func hostKey(host string) string { return hostPrefix + host }
+
+func suspicionKey(service, member, host string) string {
+	return suspicionPrefix + service + "/" + member + "/" + host
+}
+
+func lockKey(service string) string { return lockPrefix + service }
+
+// coordinationKeys holds what hosts have written besides their registrations.
+type coordinationKeys struct {
+	// suspicions is the set of current suspicions, as SERVICE/MEMBER/HOST.
+	suspicions map[string]bool
+	// locks maps a service to its promotion lock.
+	locks map[string]succession.Lock
+}
+
+func newCoordinationKeys() coordinationKeys {
+	return coordinationKeys{suspicions: map[string]bool{}, locks: map[string]succession.Lock{}}
+}
+
+// apply applies the change of one key.
+func (o coordinationKeys) apply(i store.Item) effect {
+	if rest, ok := strings.CutPrefix(i.Key, suspicionPrefix); ok {
+		// A suspicion from before a restore of the store may have been withdrawn since.
+		// Hosts that still suspect the member write it again.
+		setOrDelete(o.suspicions, rest, true, i.Deleted || !fromCurrentEpoch(i))
+		return stateChanged
+	}
+	if service, ok := strings.CutPrefix(i.Key, lockPrefix); ok {
+		setOrDelete(o.locks, service, decodeLock(i), i.Deleted)
+		return stateChanged
+	}
+	return noEffect
+}
+
+// encodeSuspicion returns the value of a suspicion: the epoch in which it is valid.
+func encodeSuspicion(epoch store.Epoch) []byte { return strconv.AppendUint(nil, uint64(epoch), 10) }
+
+// fromCurrentEpoch reports whether a suspicion was written in the current epoch of the
+// store, not in one before a restore.
+func fromCurrentEpoch(i store.Item) bool {
+	return string(i.Value) == string(encodeSuspicion(i.Revision.Epoch()))
+}
+
+func decodeLock(i store.Item) succession.Lock {
+	return succession.Lock{Holder: string(i.Value), Revision: i.Revision}
+}
+
+func setOrDelete[V any](m map[string]V, key string, value V, deleted bool) {
+	if deleted {
+		delete(m, key)
+		return
+	}
+	m[key] = value
+}
+
+func (o coordinationKeys) suspecting(service, member string) []string {
+	if len(o.suspicions) == 0 {
+		// The usual case, on a path that runs ten times a second for each group.
+		return nil
+	}
+	prefix := service + "/" + member + "/"
+	var out []string
+	for key := range o.suspicions {
+		if host, ok := strings.CutPrefix(key, prefix); ok {
+			out = append(out, host)
+		}
+	}
+	return out
+}
--- a/node/registry/counted_test.go
+++ b/node/registry/counting_store_test.go
@@ -33,20 +33,20 @@
 
 func (f failingStore) EndLease(context.Context, store.Lease) error { return f.err }
 
-// counted is a call with its result.
-type counted struct {
+// countedCall is a reported call and its result.
+type countedCall struct {
 	call   registry.CallName
 	result string
 }
 
-// TestEveryCallIsCountedOnce: each kind of call is counted with how it ended,
-// and its error is passed on.
+// TestEveryCallIsCountedOnce checks the reported result and the returned error of each
+// kind of call.
 func TestEveryCallIsCountedOnce(t *testing.T) {
 	for result, err := range map[string]error{
 		"ok": nil, "throttled": &store.Error{Failure: store.Throttled}, "conflict": &store.Error{Failure: store.Conflict}, "other": errors.New("x"),
 	} {
-		var got []counted
-		s := registry.Counted(failingStore{err}, func(call registry.CallName, result string) { got = append(got, counted{call, result}) })
+		var got []countedCall
+		s := registry.NewCountingStore(failingStore{err}, func(call registry.CallName, result string) { got = append(got, countedCall{call, result}) })
 		ctx := context.Background()
 		_, e1 := s.Range(ctx, "")
 		_, e2 := s.Watch(ctx, "", 0, 0)
@@ -55,7 +55,7 @@
 		for _, e := range []error{e1, e2, e3, e4, s.RenewLease(ctx, store.Lease{ID: 1}), s.EndLease(ctx, store.Lease{ID: 1})} {
 			require.Equal(t, err, e)
 		}
-		require.Equal(t, []counted{
+		require.Equal(t, []countedCall{
 			{registry.CallRange, result}, {registry.CallWatch, result}, {registry.CallCommit, result},
 			{registry.CallGrantLease, result}, {registry.CallRenewLease, result}, {registry.CallEndLease, result},
 		}, got)
--- a/node/registry/effect.go
+++ b/node/registry/effect.go
@@ -1,20 +1,18 @@
 package registry
 
-// effect is what one change of the store means to a host. Load pattern: 300 hosts
-// start and register, take the locks of their services, and report a dead primary
-// to each other, hundreds of changes within seconds, each told to every host. Only
-// those that may move statements have routing worked out anew, which takes a
-// millisecond of hosts that have a fifth of a core.
+// effect says what has to be updated after a change of the store. When a fleet starts,
+// hundreds of changes arrive within seconds; recomputing the routing for each of them
+// would take too much CPU time.
 type effect uint8
 
-// The effects, the least first.
+// The effects, the weakest first.
 const (
-	// nothingNew is what this host knew already: an entry that is written again
-	// unchanged.
-	nothingNew effect = iota
-	// noted is for those who look for themselves: a lock, a report of a dead
-	// primary, an entry that is in doubt.
-	noted
-	// rerouted may change where statements go: hosts, members, configuration.
-	rerouted
+	// noEffect is an entry that was written again without changes.
+	noEffect effect = iota
+	// stateChanged is a change that is sent to followers and otherwise read on demand:
+	// a lock, a suspicion, an entry with a disputed start time.
+	stateChanged
+	// routingChanged is a change of hosts, members or configuration, which may change
+	// the routing of statements.
+	routingChanged
 )
--- a/node/registry/entries_test.go
+++ b/node/registry/entries_test.go
@@ -19,76 +19,77 @@
 	return store.Item{Key: "servers/" + id, Revision: revision, Value: []byte(value)}
 }
 
-func badItem(id string, revision store.Revision) store.Item {
+func unreadableItem(id string, revision store.Revision) store.Item {
 	return store.Item{Key: "servers/" + id, Revision: revision, Value: []byte("{")}
 }
 
-// testRegistry returns a registry without a store, and what it logs.
-func testRegistry() (*Registry, *bytes.Buffer) {
+// newTestRegistry returns a registry whose store fails all listings, and its log.
+func newTestRegistry() (*Registry, *bytes.Buffer) {
 	var log bytes.Buffer
-	// What is lost is looked for again later, after the test.
-	away := &wakingStore{fails: errors.New("unavailable")}
-	return New(Config{Store: away, Documents: platform.Documents{}, Self: gates.Host{Name: "self"}, Changed: func() {}, Log: zerolog.New(&log)}), &log
+	// A missing entry triggers a listing, which may run after the end of the test.
+	unavailable := &unresponsiveStore{err: errors.New("unavailable")}
+	return New(Config{Store: unavailable, Documents: platform.Documents{}, Self: gates.Host{Name: "self"}, Changed: func() {}, Log: zerolog.New(&log)}), &log
 }
 
 func listing(revision store.Revision, items ...store.Item) store.Listing {
 	return store.Listing{Revision: revision, Items: items}
 }
 
-func missing(r *Registry) map[string]bool {
+func missingByID(r *Registry) map[string]bool {
 	out := map[string]bool{}
-	for _, m := range r.Groups()["svc"] {
+	for _, m := range r.MembersByService()["svc"] {
 		out[m.ID] = m.Missing
 	}
 	return out
 }
 
-// TestEntryOfAnotherWriterHidesNoOther: it names no member, in a listing as in a
-// watch, and the other entries hold.
-func TestEntryOfAnotherWriterHidesNoOther(t *testing.T) {
-	r, log := testRegistry()
-	r.replace(listing(9, badItem("x", 3), memberItem("a", 4), badItem("y", 5), memberItem("b", 6)))
-	require.Equal(t, map[string]bool{"a": false, "b": false}, missing(r))
-	r.replace(listing(10, badItem("x", 3), memberItem("a", 4), badItem("y", 5), memberItem("b", 6)))
-	require.Equal(t, 2, strings.Count(log.String(), "upstream_entry_unreadable"), "once a change, not once a listing")
-	r.apply(listing(12, badItem("x", 11)))
+// TestUnreadableEntryDoesNotAffectOthers checks that an unreadable entry adds no member,
+// neither by listing nor by watch, and that the other entries are applied.
+func TestUnreadableEntryDoesNotAffectOthers(t *testing.T) {
+	r, log := newTestRegistry()
+	r.replace(listing(9, unreadableItem("x", 3), memberItem("a", 4), unreadableItem("y", 5), memberItem("b", 6)))
+	require.Equal(t, map[string]bool{"a": false, "b": false}, missingByID(r))
+	r.replace(listing(10, unreadableItem("x", 3), memberItem("a", 4), unreadableItem("y", 5), memberItem("b", 6)))
+	require.Equal(t, 2, strings.Count(log.String(), "upstream_entry_unreadable"), "logged once per change, not once per listing")
+	r.apply(listing(12, unreadableItem("x", 11)))
 	require.Equal(t, 3, strings.Count(log.String(), "upstream_entry_unreadable"))
-	require.Len(t, r.Groups()["svc"], 2)
+	require.Len(t, r.MembersByService()["svc"], 2)
 }
 
-// TestOverwrittenEntryIsMissingUntilItIsBack: by the watch and by a listing.
-func TestOverwrittenEntryIsMissingUntilItIsBack(t *testing.T) {
-	r, _ := testRegistry()
+// TestOverwrittenEntryIsMissingUntilRewritten covers changes by watch and by listing.
+func TestOverwrittenEntryIsMissingUntilRewritten(t *testing.T) {
+	r, _ := newTestRegistry()
 	r.replace(listing(5, memberItem("a", 4), memberItem("b", 5)))
-	r.apply(listing(6, badItem("a", 6)))
-	require.Equal(t, map[string]bool{"a": true, "b": false}, missing(r))
+	r.apply(listing(6, unreadableItem("a", 6)))
+	require.Equal(t, map[string]bool{"a": true, "b": false}, missingByID(r))
 	r.apply(listing(7, memberItem("a", 7)))
-	require.Equal(t, map[string]bool{"a": false, "b": false}, missing(r))
-	r.replace(listing(9, badItem("a", 8), memberItem("b", 5)))
-	require.Equal(t, map[string]bool{"a": true, "b": false}, missing(r))
+	require.Equal(t, map[string]bool{"a": false, "b": false}, missingByID(r))
+	r.replace(listing(9, unreadableItem("a", 8), memberItem("b", 5)))
+	require.Equal(t, map[string]bool{"a": true, "b": false}, missingByID(r))
 	r.replace(listing(11, memberItem("a", 10), memberItem("b", 5)))
-	require.Equal(t, map[string]bool{"a": false, "b": false}, missing(r))
+	require.Equal(t, map[string]bool{"a": false, "b": false}, missingByID(r))
 }
 
-// TestOverwrittenEntryThatStaysAwayIsGone: another writer's entry keeps no
-// member alive.
-func TestOverwrittenEntryThatStaysAwayIsGone(t *testing.T) {
-	r, _ := testRegistry()
+// TestOverwrittenEntryExpires checks that an unreadable entry does not keep a member
+// registered.
+func TestOverwrittenEntryExpires(t *testing.T) {
+	r, _ := newTestRegistry()
 	r.replace(listing(5, memberItem("a", 4)))
-	r.apply(listing(6, badItem("a", 6)))
+	r.apply(listing(6, unreadableItem("a", 6)))
 	r.mu.Lock()
-	gone := r.directory.Expire(1 << 62)
+	expired := r.directory.Expire(1 << 62)
 	r.mu.Unlock()
-	require.Len(t, gone, 1)
-	require.Equal(t, "a", gone[0].ID)
-	r.replace(listing(8, badItem("a", 6)))
-	require.Empty(t, r.Groups()["svc"])
+	require.Len(t, expired, 1)
+	require.Equal(t, "a", expired[0].ID)
+	r.replace(listing(8, unreadableItem("a", 6)))
+	require.Empty(t, r.MembersByService()["svc"])
 }
 
-// TestFollowersDecodeForThemselves: a relay passes entries on as they are.
-func TestFollowersDecodeForThemselves(t *testing.T) {
-	r, _ := testRegistry()
-	r.takeNews(News{Listing: listing(7, badItem("x", 3), memberItem("a", 4)), Complete: true})
-	r.takeNews(News{Listing: listing(9, badItem("y", 8), memberItem("b", 9))})
-	require.Equal(t, map[string]bool{"a": false, "b": false}, missing(r))
+// TestFollowersDecodeRelayedEntries checks that unreadable entries, which a relay passes
+// on undecoded, do not affect a follower.
+func TestFollowersDecodeRelayedEntries(t *testing.T) {
+	r, _ := newTestRegistry()
+	r.applyUpdate(Update{Listing: listing(7, unreadableItem("x", 3), memberItem("a", 4)), Complete: true})
+	r.applyUpdate(Update{Listing: listing(9, unreadableItem("y", 8), memberItem("b", 9))})
+	require.Equal(t, map[string]bool{"a": false, "b": false}, missingByID(r))
 }
--- a/node/registry/follow.go
+++ b/node/registry/follow.go
@@ -13,50 +13,51 @@
 	"github.com/dotterelswitch/dotterelswitch/node/eventlog"
 )
 
-// News is what a relay tells: changes, or everything that there is.
-type News struct {
+// Update is a message from a relay to a follower: changes, or a complete listing.
+type Update struct {
 	store.Listing
-	// Complete tells that keys which are not listed do not exist.
+	// Complete is set for a complete listing: keys that it lacks do not exist.
 	Complete bool
 }
 
-// FollowFunc follows another host's registry from a revision. It calls take for
-// each piece of news, and returns when the stream ends: with a *RelayRefusedError
-// where the other host has ended it.
-type FollowFunc func(ctx context.Context, address string, after store.Revision, take func(News)) error
+// FollowFunc receives updates after a revision from the host at an address. It calls
+// apply for each update and returns when the stream ends, with a *RelayRefusedError if
+// the other host ended it.
+type FollowFunc func(ctx context.Context, address string, after store.Revision, apply func(Update)) error
 
-// RelayRefusedError reports a relay that has said itself that it does not relay at
-// present.
+// RelayRefusedError reports a relay that refused or ended the stream itself, because it
+// has no recent data of the store.
 type RelayRefusedError struct{ Err error }
 
 func (e *RelayRefusedError) Error() string { return e.Err.Error() }
 
 func (e *RelayRefusedError) Unwrap() error { return e.Err }
 
-// errSilentRelay ends the stream of a relay that gives no sign of life.
-var errSilentRelay = errors.New("the relay is silent")
+// errRelayTimeout ends the stream of a relay that sends neither updates nor heartbeats.
+var errRelayTimeout = errors.New("relay sent no update or heartbeat within the timeout")
 
-// errNotFollowing refuses to relay what this host has not heard of for too long.
+// errNotFollowing refuses a follower while this host has no recent contact with the
+// store.
 var errNotFollowing = errors.New("this host does not follow the store at present")
 
-// historyLimit bounds the changes that a relay keeps for followers that come
-// back: several seconds of the busiest days. Who lacks more is told everything.
-const historyLimit = 2000
+// maxHistoryItems bounds the changes that a relay keeps for followers that reconnect. A
+// follower that lacks more receives a complete listing.
+const maxHistoryItems = 2000
 
-// followRelay follows another host until it fails.
+// followRelay receives updates from another host until the stream ends.
 func (r *Registry) followRelay(outer context.Context, host gates.Host) {
 	ctx, cancel := context.WithCancelCause(outer)
 	defer cancel(nil)
-	watchdog := time.AfterFunc(relay.HeartbeatTimeout, func() { cancel(errSilentRelay) })
+	watchdog := time.AfterFunc(relay.HeartbeatTimeout, func() { cancel(errRelayTimeout) })
 	defer watchdog.Stop()
 	r.mu.Lock()
 	after := r.revision
-	r.followed = host.Name
+	r.followedRelay = host.Name
 	r.mu.Unlock()
 	eventlog.RelayFollowed.Info(r.log).Str("peer", host.Name).Stringer("revision", after).Send()
-	err := r.followHost(ctx, host.Address, after, func(n News) {
+	err := r.followHost(ctx, host.Address, after, func(u Update) {
 		watchdog.Reset(relay.HeartbeatTimeout)
-		if err := r.takeNews(n); err != nil {
+		if err := r.applyUpdate(u); err != nil {
 			cancel(err)
 		}
 	})
@@ -66,61 +67,61 @@
 	eventlog.RelayLost.Info(r.log).Str("peer", host.Name).Err(err).Send()
 	var refused *RelayRefusedError
 	r.mu.Lock()
-	r.followed = ""
-	r.relays.MarkFailed(host.Name, errors.As(err, &refused), clock.Now())
+	r.followedRelay = ""
+	r.relaySelector.MarkFailed(host.Name, errors.As(err, &refused), clock.Now())
 	r.mu.Unlock()
 	clock.Sleep(outer, relay.FailoverDelay+rand.N(relay.FailoverDelay))
 }
 
-// takeNews takes what a relay tells. It fails on news of an older epoch than this
-// host has heard of; a relay of a newer one tells everything.
-func (r *Registry) takeNews(n News) error {
-	if n.Complete {
-		return r.replace(n.Listing)
+// applyUpdate applies an update of a relay. It returns errOlderEpoch for a complete
+// listing of an older epoch than the local copy's.
+func (r *Registry) applyUpdate(u Update) error {
+	if u.Complete {
+		return r.replace(u.Listing)
 	}
-	r.apply(n.Listing)
+	r.apply(u.Listing)
 	return nil
 }
 
-// pickRelay returns the host to follow, if this one is not to watch the store.
+// pickRelay returns the relay to follow; false if this host has to use the store itself.
 func (r *Registry) pickRelay() (gates.Host, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.followHost == nil || !r.listed || r.leaving {
 		return gates.Host{}, false
 	}
-	return r.relays.Pick(r.roster.Hosts(), clock.Now())
+	return r.relaySelector.Pick(r.roster.Hosts(), clock.Now())
 }
 
-// Tell tells a follower what changes after a revision, until the context ends
-// or this host loses the store itself. An empty piece of news is a sign of life.
-func (r *Registry) Tell(ctx context.Context, after store.Revision, send func(News) error) error {
+// StreamUpdates sends a follower the changes after a revision, until the context ends
+// or this host loses contact with the store. An update without items is a heartbeat.
+func (r *Registry) StreamUpdates(ctx context.Context, after store.Revision, send func(Update) error) error {
 	r.countFollowers(1)
 	defer r.countFollowers(-1)
-	beat := time.NewTicker(relay.HeartbeatInterval)
-	defer beat.Stop()
-	r.noteAhead(after)
+	heartbeat := time.NewTicker(relay.HeartbeatInterval)
+	defer heartbeat.Stop()
+	r.logFollowerAhead(after)
 	for {
-		n, changed, err := r.newsAfter(after)
+		u, changed, err := r.updateAfter(after)
 		if err != nil {
 			return err
 		}
-		if err := send(n); err != nil {
+		if err := send(u); err != nil {
 			return err
 		}
-		r.countTold(len(n.Items))
-		after = n.Revision
+		r.countSent(len(u.Items))
+		after = u.Revision
 		select {
 		case <-changed:
-		case <-beat.C:
+		case <-heartbeat.C:
 		case <-ctx.Done():
 			return ctx.Err()
 		}
 	}
 }
 
-// noteAhead logs a follower that has heard of a newer revision than this host.
-func (r *Registry) noteAhead(after store.Revision) {
+// logFollowerAhead logs a follower that has a newer revision than this host.
+func (r *Registry) logFollowerAhead(after store.Revision) {
 	r.mu.Lock()
 	revision := r.revision
 	r.mu.Unlock()
@@ -129,10 +130,10 @@
 	}
 }
 
-func (r *Registry) countFollowers(by int) {
+func (r *Registry) countFollowers(delta int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.followers += by
+	r.followers += delta
 }
 
 // Followers returns how many hosts follow this one.
@@ -142,72 +143,74 @@
 	return r.followers
 }
 
-// hears reports whether this host has lately heard of the store, by itself or
-// from the host that it follows: hosts follow only those that go before them, so
-// that what one hears has come from the store. A host that changes from one way to
-// the other keeps its followers. It is called with mu held.
-func (r *Registry) hears(now time.Duration) bool {
-	if !r.listed || (r.direct && r.away) {
+// hasRecentContact reports whether this host has recent data from the store or from its
+// relay. Relays form no cycles, so the data of a relay comes from the store too. A host
+// that switches between store and relay keeps its followers. It is called with mu held.
+func (r *Registry) hasRecentContact(now time.Duration) bool {
+	if !r.listed || (r.direct && r.unreachable) {
 		return false
 	}
-	return now-r.heardAt <= r.wait+relay.StoreAnswerGrace
+	return now-r.lastContact <= r.watchWait+relay.StoreAnswerGrace
 }
 
-// newsAfter returns what changed after a revision, and a channel that is closed
-// by the next change.
-func (r *Registry) newsAfter(after store.Revision) (News, <-chan struct{}, error) {
+// updateAfter returns the changes after a revision, and a channel that is closed at the
+// next change.
+func (r *Registry) updateAfter(after store.Revision) (Update, <-chan struct{}, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if !r.hears(clock.Now()) {
-		return News{}, nil, errNotFollowing
+	if !r.hasRecentContact(clock.Now()) {
+		return Update{}, nil, errNotFollowing
 	}
 	if after.Epoch() > r.revision.Epoch() {
-		r.hearOfEpoch(after.Epoch())
-		return News{}, nil, errOlderEpoch
+		r.observeEpoch(after.Epoch())
+		return Update{}, nil, errOlderEpoch
 	}
 	if after >= r.revision {
-		// A follower that watched the store itself may be ahead for a moment.
-		return News{Listing: store.Listing{Revision: after}}, r.news, nil
+		// A follower that watched the store itself may be ahead briefly.
+		return Update{Listing: store.Listing{Revision: after}}, r.historyChanged, nil
 	}
 	if after < r.historyStart {
-		return News{Listing: r.newerThan(0), Complete: true}, r.news, nil
+		return Update{Listing: r.itemsAfter(0), Complete: true}, r.historyChanged, nil
 	}
-	n := News{Listing: store.Listing{Revision: r.revision}}
+	u := Update{Listing: store.Listing{Revision: r.revision}}
 	for _, i := range r.history {
 		if i.Revision > after {
-			n.Items = append(n.Items, i)
+			u.Items = append(u.Items, i)
 		}
 	}
-	return n, r.news, nil
+	return u, r.historyChanged, nil
 }
 
-// heard lists what another host has told, if this one follows it.
-func (r *Registry) heard() (store.Listing, bool) {
+// relayedListing returns the local copy if it comes from a relay; false if this host
+// uses the store itself.
+func (r *Registry) relayedListing() (store.Listing, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.direct {
 		return store.Listing{}, false
 	}
-	return r.newerThan(0), true
+	return r.itemsAfter(0), true
 }
 
-// record keeps changes for followers and wakes them. It is called with mu held.
-func (r *Registry) record(items []store.Item) {
+// appendHistory keeps changes for followers and notifies them. It is called with mu
+// held.
+func (r *Registry) appendHistory(items []store.Item) {
 	r.history = append(r.history, items...)
-	if over := len(r.history) - historyLimit; over > 0 {
-		r.historyStart = r.history[over-1].Revision
-		r.history = append([]store.Item(nil), r.history[over:]...)
+	if excess := len(r.history) - maxHistoryItems; excess > 0 {
+		r.historyStart = r.history[excess-1].Revision
+		r.history = append([]store.Item(nil), r.history[excess:]...)
 	}
-	r.wakeFollowers()
+	r.notifyFollowers()
 }
 
-// forgetHistory has followers told everything. It is called with mu held.
-func (r *Registry) forgetHistory() {
+// resetHistory drops the history, so that followers receive a complete listing. It is
+// called with mu held.
+func (r *Registry) resetHistory() {
 	r.history, r.historyStart = nil, r.revision
-	r.wakeFollowers()
+	r.notifyFollowers()
 }
 
-func (r *Registry) wakeFollowers() {
-	close(r.news)
-	r.news = make(chan struct{})
+func (r *Registry) notifyFollowers() {
+	close(r.historyChanged)
+	r.historyChanged = make(chan struct{})
 }
--- a/node/registry/follow_test.go
+++ b/node/registry/follow_test.go
@@ -14,139 +14,141 @@
 	"github.com/dotterelswitch/dotterelswitch/platform"
 )
 
-// relayAt returns the registry of a relay that has heard of everything up to a
-// revision, and keeps the changes after another one.
+// relayAt returns the registry of a relay at a revision that keeps the changes after
+// historyStart.
 func relayAt(revision, historyStart store.Revision, changes ...store.Item) *Registry {
 	r := New(Config{Documents: platform.Documents{}, Self: gates.Host{Name: "relay"}, Changed: func() {}, Log: zerolog.Nop()})
-	r.listed, r.heardAt = true, clock.Now()
+	r.listed, r.lastContact = true, clock.Now()
 	r.revision, r.historyStart, r.history = revision, historyStart, changes
 	for _, i := range changes {
-		r.remember(i)
+		r.cacheItem(i)
 	}
 	return r
 }
 
-var errEnough = errors.New("enough")
+var errStop = errors.New("stop")
 
-// firstNews returns what a follower is told first.
-func firstNews(t *testing.T, r *Registry, after store.Revision) News {
+// firstUpdate returns the first update that a follower at a revision receives.
+func firstUpdate(t *testing.T, r *Registry, after store.Revision) Update {
 	t.Helper()
-	var first News
-	err := r.Tell(context.Background(), after, func(n News) error {
-		first = n
-		return errEnough
+	var first Update
+	err := r.StreamUpdates(context.Background(), after, func(u Update) error {
+		first = u
+		return errStop
 	})
-	require.ErrorIs(t, err, errEnough)
+	require.ErrorIs(t, err, errStop)
 	return first
 }
 
-func TestFollowerIsToldWhatItLacks(t *testing.T) {
+func TestFollowerReceivesMissedChanges(t *testing.T) {
 	five, six := store.Item{Key: "a", Revision: 5}, store.Item{Key: "b", Revision: 6}
 	r := relayAt(6, 4, five, six)
-	n := firstNews(t, r, 5)
+	n := firstUpdate(t, r, 5)
 	require.False(t, n.Complete)
 	require.Equal(t, []store.Item{six}, n.Items)
 	require.EqualValues(t, 6, n.Revision)
-	n = firstNews(t, r, 3)
-	require.True(t, n.Complete, "the changes after 3 are not all kept")
+	n = firstUpdate(t, r, 3)
+	require.True(t, n.Complete, "not all changes after revision 3 are kept")
 	require.Len(t, n.Items, 2)
 }
 
-// TestFollowerThatIsAheadIsNotTakenBack: it watched the store itself until now.
-func TestFollowerThatIsAheadIsNotTakenBack(t *testing.T) {
-	n := firstNews(t, relayAt(6, 4, store.Item{Key: "a", Revision: 6}), 9)
+// TestFollowerAheadOfRelayKeepsItsRevision: a follower that watched the store itself
+// until now may have a newer revision than its relay.
+func TestFollowerAheadOfRelayKeepsItsRevision(t *testing.T) {
+	n := firstUpdate(t, relayAt(6, 4, store.Item{Key: "a", Revision: 6}), 9)
 	require.False(t, n.Complete)
 	require.Empty(t, n.Items)
 	require.EqualValues(t, 9, n.Revision)
 }
 
-// TestHostKeepsItsFollowersAsItChangesItsOwnWay: the second relay of a zone goes
-// back to the first while the store still turns this host away.
-func TestHostKeepsItsFollowersAsItChangesItsOwnWay(t *testing.T) {
+// TestFollowersAreKeptWhenHostSwitchesToRelay covers a relay that follows another relay
+// while the store still refuses its own calls.
+func TestFollowersAreKeptWhenHostSwitchesToRelay(t *testing.T) {
 	r := relayAt(6, 4, store.Item{Key: "a", Revision: 6})
-	r.direct, r.away = false, true
-	require.Len(t, firstNews(t, r, 5).Items, 1)
+	r.direct, r.unreachable = false, true
+	require.Len(t, firstUpdate(t, r, 5).Items, 1)
 }
 
-// TestRelayThatDoesNotHearTheStoreSaysSo: its followers may reach it.
-func TestRelayThatDoesNotHearTheStoreSaysSo(t *testing.T) {
-	for _, harm := range []func(r *Registry){
-		func(r *Registry) { r.away = true },
-		func(r *Registry) { r.direct = false; r.heardAt -= 10 * r.wait },
+// TestRelayWithoutStoreContactRefusesFollowers: the followers may reach the store
+// themselves.
+func TestRelayWithoutStoreContactRefusesFollowers(t *testing.T) {
+	for _, loseContact := range []func(r *Registry){
+		func(r *Registry) { r.unreachable = true },
+		func(r *Registry) { r.direct = false; r.lastContact -= 10 * r.watchWait },
 		func(r *Registry) { r.listed = false },
-		func(r *Registry) { r.heardAt -= 10 * r.wait },
+		func(r *Registry) { r.lastContact -= 10 * r.watchWait },
 	} {
 		r := relayAt(6, 4)
-		harm(r)
-		require.ErrorIs(t, r.Tell(context.Background(), 6, nil), errNotFollowing)
+		loseContact(r)
+		require.ErrorIs(t, r.StreamUpdates(context.Background(), 6, nil), errNotFollowing)
 	}
 }
 
-// TestFollowersHearWhatTheirRelayKnewAlready replays the return of a store that was
-// away while the members' entries lapsed. The relay has heard from another host
-// that a member is back before its own watch tells that its entry was lost and is
-// back. Its followers heard nothing from that host: told of the loss alone, they
-// took a living member for gone.
-func TestFollowersHearWhatTheirRelayKnewAlready(t *testing.T) {
-	relay, _ := countingRegistry()
-	follower, _ := countingRegistry()
-	back := livingItem("m", 9, 30, 500)
-	relay.applyRelayed(listing(9, back), "another host")
-	relay.apply(listing(9, store.Item{Key: back.Key, Revision: 8, Deleted: true}, back))
-
-	follower.takeNews(firstNews(t, relay, 1))
+// TestFollowersReceiveChangesThatRelayLearnedFromPeers guards against followers that
+// consider a live member missing. The relay learned the rewritten entry from a peer
+// before its own watch returned the deletion and the entry; it must send both.
+func TestFollowersReceiveChangesThatRelayLearnedFromPeers(t *testing.T) {
+	relay, _ := registryWithChangeCount()
+	follower, _ := registryWithChangeCount()
+	rewritten := heartbeatItem("m", 9, 30, 500)
+	relay.applyPeerListing(listing(9, rewritten), "another host")
+	relay.apply(listing(9, store.Item{Key: rewritten.Key, Revision: 8, Deleted: true}, rewritten))
+
+	follower.applyUpdate(firstUpdate(t, relay, 1))
 	for name, r := range map[string]*Registry{"relay": relay, "follower": follower} {
-		members := r.Groups()["svc"]
+		members := r.MembersByService()["svc"]
 		require.Len(t, members, 1, name)
 		require.False(t, members[0].Missing, name)
 		follower.direct = false
-		l, follows := follower.heard()
+		l, follows := follower.relayedListing()
 		require.True(t, follows)
-		require.Len(t, l.Items, 1, "what a follower lists again holds the entry")
+		require.Len(t, l.Items, 1, "the follower's local copy has the entry")
 	}
 }
 
-// inEpoch returns a position of an epoch.
-func inEpoch(t *testing.T, epoch store.Epoch, number uint64) store.Revision {
+// revisionInEpoch returns a revision of an epoch.
+func revisionInEpoch(t *testing.T, epoch store.Epoch, number uint64) store.Revision {
 	t.Helper()
 	r, err := store.NewRevision(epoch, number)
 	require.NoError(t, err)
 	return r
 }
 
-// TestFollowerOfAnOlderEpochIsToldEverything: its number may be the higher one.
-func TestFollowerOfAnOlderEpochIsToldEverything(t *testing.T) {
-	r := relayAt(inEpoch(t, 2, 20), inEpoch(t, 2, 20), store.Item{Key: "a", Revision: inEpoch(t, 2, 20)})
-	n := firstNews(t, r, inEpoch(t, 1, 300))
+// TestFollowerFromOlderEpochReceivesCompleteListing: the number of its revision may be
+// higher than the relay's.
+func TestFollowerFromOlderEpochReceivesCompleteListing(t *testing.T) {
+	r := relayAt(revisionInEpoch(t, 2, 20), revisionInEpoch(t, 2, 20), store.Item{Key: "a", Revision: revisionInEpoch(t, 2, 20)})
+	n := firstUpdate(t, r, revisionInEpoch(t, 1, 300))
 	require.True(t, n.Complete)
 	require.Len(t, n.Items, 1)
 }
 
-// TestRelayOfAnOlderEpochListsTheStore: its follower knows that the store has
-// returned from a copy, and the relay's own watch may wait for seconds.
-func TestRelayOfAnOlderEpochListsTheStore(t *testing.T) {
-	r := relayAt(inEpoch(t, 1, 300), inEpoch(t, 1, 200))
+// TestRelayInOlderEpochListsStoreAgain checks that a relay which learns of a restore from
+// its follower does not wait for the end of its own watch.
+func TestRelayInOlderEpochListsStoreAgain(t *testing.T) {
+	r := relayAt(revisionInEpoch(t, 1, 300), revisionInEpoch(t, 1, 200))
 	interrupted := false
-	r.interrupt = func() { interrupted = true }
-	require.ErrorIs(t, r.Tell(context.Background(), inEpoch(t, 2, 20), nil), errOlderEpoch)
+	r.cancelWatch = func() { interrupted = true }
+	require.ErrorIs(t, r.StreamUpdates(context.Background(), revisionInEpoch(t, 2, 20), nil), errOlderEpoch)
 	require.False(t, r.listed)
 	require.True(t, interrupted)
 }
 
-// TestAnswerOfAnOlderEpochIsDropped: it was on its way while the store returned from
-// a copy.
-func TestAnswerOfAnOlderEpochIsDropped(t *testing.T) {
-	r, _ := testRegistry()
-	require.NoError(t, r.replace(listing(inEpoch(t, 2, 20), livingItem("m", inEpoch(t, 2, 20), 3, 500))))
-	require.ErrorIs(t, r.replace(listing(inEpoch(t, 1, 300))), errOlderEpoch)
-	require.Equal(t, inEpoch(t, 2, 20), r.State().Revision)
-	require.Len(t, r.Groups()["svc"], 1)
-	require.ErrorIs(t, r.takeNews(News{Listing: listing(inEpoch(t, 1, 300)), Complete: true}), errOlderEpoch)
+// TestAnswerFromOlderEpochIsDropped covers an answer that was delayed while the store
+// was restored.
+func TestAnswerFromOlderEpochIsDropped(t *testing.T) {
+	r, _ := newTestRegistry()
+	require.NoError(t, r.replace(listing(revisionInEpoch(t, 2, 20), heartbeatItem("m", revisionInEpoch(t, 2, 20), 3, 500))))
+	require.ErrorIs(t, r.replace(listing(revisionInEpoch(t, 1, 300))), errOlderEpoch)
+	require.Equal(t, revisionInEpoch(t, 2, 20), r.State().Revision)
+	require.Len(t, r.MembersByService()["svc"], 1)
+	require.ErrorIs(t, r.applyUpdate(Update{Listing: listing(revisionInEpoch(t, 1, 300)), Complete: true}), errOlderEpoch)
 }
 
-// TestStoreWithoutEpochsIsListedAgain: its numbers may go back all the same.
-func TestStoreWithoutEpochsIsListedAgain(t *testing.T) {
-	r, _ := testRegistry()
+// TestRevisionMayDecreaseInStoreWithoutEpochs checks that a listing with a lower revision
+// is accepted if the store has no epochs.
+func TestRevisionMayDecreaseInStoreWithoutEpochs(t *testing.T) {
+	r, _ := newTestRegistry()
 	require.NoError(t, r.replace(listing(300)))
 	require.NoError(t, r.replace(listing(20)))
 	require.EqualValues(t, 20, r.State().Revision)
--- /dev/null
+++ b/node/registry/hedged_listing.go
@@ -0,0 +1,57 @@
+package registry
+
+import (
+	"context"
+	"time"
+
+	"github.com/dotterelswitch/dotterelswitch/core/store"
+	"github.com/dotterelswitch/dotterelswitch/node/clock"
+)
+
+const (
+	// hedgeDelay is the time without an answer after which the first listing of a host
+	// is sent again beside the outstanding one. A store that is restarting never
+	// answers earlier calls, and waiting for their timeout would delay service.
+	hedgeDelay = 300 * time.Millisecond
+	// maxHedgedCalls bounds the outstanding listings.
+	maxHedgedCalls = 5
+)
+
+type listingResult struct {
+	listing store.Listing
+	err     error
+}
+
+// listHedged lists the whole store for a host that has just started. It returns the
+// first answer, or the last failure when no call is outstanding.
+//
+// It sends no further listing while the store answers other calls: the store is
+// reachable then, and repeated listings of a whole fleet would only load it more.
+func (r *Registry) listHedged(ctx context.Context) (store.Listing, error) {
+	ctx, cancel := context.WithCancel(ctx)
+	defer cancel()
+	results := make(chan listingResult, maxHedgedCalls)
+	list := func() {
+		l, err := r.listAll(ctx)
+		results <- listingResult{l, err}
+	}
+	hedge := time.NewTicker(hedgeDelay)
+	defer hedge.Stop()
+	lastSent := clock.Now()
+	go list()
+	for outstanding := 1; ; {
+		select {
+		case result := <-results:
+			outstanding--
+			if result.err == nil || outstanding == 0 {
+				return result.listing, result.err
+			}
+		case <-hedge.C:
+			if outstanding < maxHedgedCalls && !r.lastAnswered.answeredSince(lastSent) {
+				outstanding++
+				lastSent = clock.Now()
+				go list()
+			}
+		}
+	}
+}
--- /dev/null
+++ b/node/registry/last_answered_call.go
@@ -0,0 +1,26 @@
+package registry
+
+import (
+	"sync/atomic"
+	"time"
+)
+
+// lastAnsweredCall holds the start time of the latest started call that the store has
+// answered. It is safe for concurrent use.
+type lastAnsweredCall struct{ sentAt atomic.Int64 }
+
+// record records an answer to a call that was sent at the given time.
+func (s *lastAnsweredCall) record(sentAt time.Duration) {
+	for {
+		newest := s.sentAt.Load()
+		if int64(sentAt) <= newest || s.sentAt.CompareAndSwap(newest, int64(sentAt)) {
+			return
+		}
+	}
+}
+
+// answeredSince reports whether the store has answered a call that was sent after the
+// given time.
+func (s *lastAnsweredCall) answeredSince(at time.Duration) bool {
+	return time.Duration(s.sentAt.Load()) > at
+}
--- a/node/registry/registration.go
+++ b/node/registry/registration.go
@@ -12,8 +12,8 @@
 	"github.com/dotterelswitch/dotterelswitch/node/clock"
 )
 
-// encodeRegistration writes what other hosts need to know of one: its zone and
-// address, the epoch in which it is written, and the configuration that it knows.
+// encodeRegistration encodes a host's zone, address, the epoch of the registration, and
+// the version of the host's configuration.
 func encodeRegistration(reg roster.Registration) []byte {
 	return []byte(strings.Join([]string{
 		reg.Host.Zone, reg.Host.Address,
@@ -21,8 +21,8 @@
 	}, " "))
 }
 
-// decodeRegistration reads a registration. Hosts of an earlier version name neither
-// epoch nor configuration; theirs count as written in the epoch that holds them.
+// decodeRegistration decodes a registration. Hosts of an earlier release write neither
+// epoch nor configuration version; the epoch of the item's revision is used for them.
 func decodeRegistration(name string, i store.Item) roster.Registration {
 	fields := strings.Split(string(i.Value), " ")
 	fields = append(fields, make([]string, max(0, 4-len(fields)))...)
@@ -57,9 +57,9 @@
 	return out
 }
 
-// takeRegistration takes a change of a host's registration. It is called with mu
+// applyRegistration applies a change of a host's registration. It is called with mu
 // held.
-func (r *Registry) takeRegistration(reg roster.Registration, deleted bool, now time.Duration) {
+func (r *Registry) applyRegistration(reg roster.Registration, deleted bool, now time.Duration) {
 	if deleted {
 		r.roster.Remove(reg.Host.Name, now)
 		return
@@ -68,19 +68,19 @@
 	r.scheduleExpiry()
 }
 
-// scheduleExpiry looks again when the registrations that are carried over from an
-// earlier epoch have had their time. It is called with mu held.
+// scheduleExpiry schedules the removal of registrations that are carried over from an
+// earlier epoch. It is called with mu held.
 func (r *Registry) scheduleExpiry() {
-	if r.expiring || !r.roster.HasCarriedOver() {
+	if r.expiryScheduled || !r.roster.HasCarriedOver() {
 		return
 	}
-	r.expiring = true
+	r.expiryScheduled = true
 	time.AfterFunc(roster.MinCarryOver, r.expireHosts)
 }
 
 func (r *Registry) expireHosts() {
 	r.mu.Lock()
-	r.expiring = false
+	r.expiryScheduled = false
 	dropped := r.roster.Expire(clock.Now())
 	r.scheduleExpiry()
 	r.mu.Unlock()
@@ -89,7 +89,7 @@
 	}
 }
 
-// Hosts returns the names of the hosts that are registered.
+// Hosts returns the sorted names of the registered hosts.
 func (r *Registry) Hosts() []string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -101,14 +101,15 @@
 	return out
 }
 
-// Fleet returns the hosts that are registered.
+// Fleet returns the registered hosts.
 func (r *Registry) Fleet() []gates.Host {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.roster.Hosts()
 }
 
-// AddressOf returns where a registered host takes datagrams and calls.
+// AddressOf returns the address on which a registered host receives datagrams and
+// calls.
 func (r *Registry) AddressOf(host string) (string, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/node/registry/registry.go
+++ b/node/registry/registry.go
@@ -1,6 +1,7 @@
-// Package registry keeps a host's picture of the platform's store: the
-// operators' configuration, the members' entries, and the keys by which hosts
-// know of each other. One watch covers all of them.
+// Package registry keeps a host's local copy of the platform's store: the
+// configuration, the members' entries, and the keys that hosts write for each other
+// (registrations, suspicions, promotion locks). One watch covers all of them. In a
+// large fleet only some hosts watch the store; they relay changes to the others.
 package registry
 
 import (
@@ -20,8 +21,7 @@
 	"github.com/dotterelswitch/dotterelswitch/core/succession"
 )
 
-// Store is what a host needs of the platform's store. Failures are
-// *store.Error.
+// Store is the client of the platform's store. Failures are *store.Error.
 type Store interface {
 	Range(ctx context.Context, prefix string) (store.Listing, error)
 	Watch(ctx context.Context, prefix string, after store.Revision, wait time.Duration) (store.Listing, error)
@@ -31,7 +31,7 @@
 	EndLease(ctx context.Context, lease store.Lease) error
 }
 
-// Documents decodes what others keep in the store.
+// Documents decodes the keys and values that the platform writes to the store.
 type Documents interface {
 	ConfigKey() string
 	MemberPrefix() string
@@ -40,129 +40,128 @@
 	Entry(i store.Item) (directory.Entry, error)
 }
 
-// Registry follows the store. It is safe for concurrent use.
+// Registry keeps a local copy of the store. It is safe for concurrent use.
 type Registry struct {
 	store Store
 	docs  Documents
-	// self is what other hosts are told of this one.
-	self gates.Host
-	log  zerolog.Logger
+	self  gates.Host
+	log   zerolog.Logger
 	// changed is called, without a lock, after each change.
 	changed func()
-	// wait is how long one watch waits.
-	wait time.Duration
-	// followHost follows another host; nil where hosts do not reach each other.
+	// watchWait is the time after which a watch without changes returns.
+	watchWait time.Duration
+	// followHost receives changes from a relay; nil disables relays.
 	followHost FollowFunc
-	without    mechanism.Disabled
-	// askConfig asks another host for its configuration; nil where hosts do not reach
-	// each other.
-	askConfig AskConfigFunc
-	// seen tells whether the store answers.
-	seen storeSeen
-	// lapsed is ready when a restored store does not know this host.
-	lapsed chan struct{}
-	// reached is ready when the store answers after it has not, or for the first
-	// time.
-	reached chan struct{}
+	disabled   mechanism.Disabled
+	// fetchConfig fetches the configuration of another host; nil disables it.
+	fetchConfig FetchConfigFunc
+	// lastAnswered records the latest call that the store has answered.
+	lastAnswered lastAnsweredCall
+	// registrationLost is signalled when a restored store lacks this host's
+	// registration.
+	registrationLost chan struct{}
+	// storeReached is signalled when the store answers for the first time or again
+	// after an outage.
+	storeReached chan struct{}
 
 	// mu guards the fields below.
 	mu      sync.Mutex
 	catalog *catalog.Catalog
-	// document is what the configuration in force was read from.
-	document []byte
-	// held is the store's newest configuration while other hosts are asked for a
-	// newer one; nil while none are.
-	held      *heldConfig
-	directory *directory.Directory
-	own       ownKeys
-	roster    *roster.Roster
-	// expiring tells that the roster is looked at again soon.
-	expiring  bool
-	listed    bool
-	away      bool
-	awaySince time.Duration
-	revision  store.Revision
-	// told is the newest revision that another host told of while the store was
-	// away.
-	told store.Revision
-	// relays chooses the host to follow; direct tells that this host follows the
-	// store itself.
-	relays *relay.Selector
-	direct bool
-	// interrupt ends the call under way by which this host follows the store.
-	interrupt context.CancelFunc
-	// followed is the host that this one follows; empty while it follows none.
-	followed string
-	// heardAt is when the store, or the relay, last answered.
-	heardAt time.Duration
-	// history holds the newest changes, those after historyStart, for followers;
-	// news is closed and replaced by each change.
-	history      []store.Item
-	historyStart store.Revision
-	news         chan struct{}
-	// followers counts the hosts that follow this one.
-	followers  int
-	newsCounts NewsCounts
-	// items are all keys as they were written, for hosts that are cut off.
+	// configDocument is the encoded form of catalog.
+	configDocument []byte
+	// pendingConfig is the store's newest configuration while other hosts are asked
+	// for a newer one; nil otherwise.
+	pendingConfig *pendingConfig
+	directory     *directory.Directory
+	coordination  coordinationKeys
+	roster        *roster.Roster
+	// expiryScheduled is set while a timer for expireHosts runs.
+	expiryScheduled bool
+	// listed is cleared to list the whole store again instead of watching it.
+	listed           bool
+	unreachable      bool
+	unreachableSince time.Duration
+	revision         store.Revision
+	// peerRevision is the newest revision that was learned from another host while
+	// the store was unreachable.
+	peerRevision store.Revision
+	// relaySelector chooses the relay to follow; direct is set while this host watches
+	// the store itself.
+	relaySelector *relay.Selector
+	direct        bool
+	// cancelWatch cancels the watch in progress.
+	cancelWatch context.CancelFunc
+	// followedRelay is the name of the relay that this host follows; empty for none.
+	followedRelay string
+	// lastContact is when the store or the relay last answered.
+	lastContact time.Duration
+	// history holds the changes after historyStart, for followers. historyChanged is
+	// closed and replaced at each change.
+	history        []store.Item
+	historyStart   store.Revision
+	historyChanged chan struct{}
+	followers      int
+	updateCounts   UpdateCounts
+	// items holds all keys as they were written, for followers and for hosts that do
+	// not reach the store.
 	items map[string]store.Item
-	// unreadable holds the revisions of the entries that could not be read, so
-	// that each is logged once.
+	// unreadable holds the revisions of entries that could not be decoded, so that
+	// each is logged once.
 	unreadable map[string]store.Revision
 	lease      store.Lease
-	// registeredAt is the revision of this host's registration; zero before it.
+	// registeredAt is the revision of this process's registration; zero before it.
 	registeredAt store.Revision
-	// remembered tells that an earlier life was registered at the first listing.
-	remembered bool
-	recheck    bool
-	leaving    bool
+	// registeredAtStart is set if the first listing had a registration of an earlier
+	// process of this host.
+	registeredAtStart bool
+	// relistScheduled is set while a timer for relistMembers runs.
+	relistScheduled bool
+	leaving         bool
 }
 
-// Config is what a Registry needs from its surroundings.
+// Config holds the settings and dependencies of a Registry.
 type Config struct {
 	Store     Store
 	Documents Documents
-	// Self is what other hosts are told of this one.
-	Self gates.Host
-	// ConfigBound is how soon a change of the configuration must be in force; zero
-	// for no bound.
-	ConfigBound time.Duration
-	// FollowHost follows another host; nil where hosts do not reach each other.
+	Self      gates.Host
+	// MaxConfigApplyTime is the time within which a configuration change must be
+	// active; zero for no bound.
+	MaxConfigApplyTime time.Duration
+	// FollowHost receives changes from a relay; nil disables relays.
 	FollowHost FollowFunc
-	// AskConfig asks another host for its configuration; nil where hosts do not reach
-	// each other.
-	AskConfig AskConfigFunc
-	Without   mechanism.Disabled
-	// Changed is called, without a lock, after changes.
+	// FetchConfig fetches the configuration of another host; nil disables it.
+	FetchConfig FetchConfigFunc
+	Disabled    mechanism.Disabled
+	// Changed is called, without a lock, after each change.
 	Changed func()
 	Log     zerolog.Logger
 }
 
-// New returns a registry for a host.
 func New(cfg Config) *Registry {
-	wait := time.Duration(watchShare * float64(cfg.ConfigBound))
+	wait := time.Duration(watchWaitFraction * float64(cfg.MaxConfigApplyTime))
 	if wait <= 0 {
-		wait = defaultWait
+		wait = defaultWatchWait
 	}
 	followHost := cfg.FollowHost
-	if !cfg.Without.Enabled(mechanism.Relays) {
+	if !cfg.Disabled.Enabled(mechanism.Relays) {
 		followHost = nil
 	}
 	return &Registry{
-		store: cfg.Store, docs: cfg.Documents, self: cfg.Self, wait: wait, followHost: followHost, askConfig: cfg.AskConfig, without: cfg.Without, changed: cfg.Changed, log: cfg.Log,
-		directory: directory.New(), own: newOwnKeys(), roster: roster.New(), items: map[string]store.Item{}, unreadable: map[string]store.Revision{},
-		relays: relay.New(cfg.Self), direct: true, news: make(chan struct{}), reached: make(chan struct{}, 1), lapsed: make(chan struct{}, 1),
+		store: cfg.Store, docs: cfg.Documents, self: cfg.Self, watchWait: wait, followHost: followHost, fetchConfig: cfg.FetchConfig, disabled: cfg.Disabled, changed: cfg.Changed, log: cfg.Log,
+		directory: directory.New(), coordination: newCoordinationKeys(), roster: roster.New(), items: map[string]store.Item{}, unreadable: map[string]store.Revision{},
+		relaySelector: relay.New(cfg.Self), direct: true, historyChanged: make(chan struct{}), storeReached: make(chan struct{}, 1), registrationLost: make(chan struct{}, 1),
 	}
 }
 
-// Catalog returns the configuration in force, or nil.
+// Catalog returns the active configuration, or nil.
 func (r *Registry) Catalog() *catalog.Catalog {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.catalog
 }
 
-// Groups returns the members of all services by service.
-func (r *Registry) Groups() map[string][]directory.Member {
+// MembersByService returns the members of all services.
+func (r *Registry) MembersByService() map[string][]directory.Member {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	out := map[string][]directory.Member{}
@@ -176,19 +175,20 @@
 func (r *Registry) Suspecting(service, member string) []string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.own.suspecting(service, member)
+	return r.coordination.suspecting(service, member)
 }
 
-// LockOf returns the promotion lock of a service.
+// LockOf returns the promotion lock of a service; the zero Lock if nobody holds it.
 func (r *Registry) LockOf(service string) succession.Lock {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.own.locks[service]
+	return r.coordination.locks[service]
 }
 
-// Away reports whether this host does not reach the store at present.
+// Away reports whether a call to the store has failed and neither the store nor a relay
+// has sent data since.
 func (r *Registry) Away() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.away
+	return r.unreachable
 }
--- a/node/registry/run.go
+++ b/node/registry/run.go
@@ -15,45 +15,40 @@
 )
 
 const (
-	// watchShare is the part of the bound on a change of configuration for which
-	// one watch waits. A store that drops its history may leave a watch waiting
-	// that will never hear of a change; half of the bound leaves time to list
-	// everything. Every call is paid for, so it is not shorter.
-	watchShare = 0.5
-	// defaultWait is the wait where no bound is known.
-	defaultWait = 1500 * time.Millisecond
-	// watchSpacing is the least time between two watches. A fleet that starts
-	// makes an event a host, and each would cost every host a call.
+	// watchWaitFraction is the wait of one watch as a fraction of
+	// Config.MaxConfigApplyTime. A store that compacts its history may leave a watch
+	// waiting without an answer; the rest of the bound is left for a full listing.
+	watchWaitFraction = 0.5
+	// defaultWatchWait applies if Config.MaxConfigApplyTime is zero.
+	defaultWatchWait = 1500 * time.Millisecond
+	// watchSpacing is the minimum time between the starts of two watches. It batches
+	// bursts of changes, such as the registrations of a whole fleet that starts.
 	watchSpacing = 100 * time.Millisecond
-	// standInSpacing is the same for a host that watches only until it has a relay
-	// again, and standInBackoff spaces its calls to a store that is away. Nobody
-	// hears of the store through it, and it asks other hosts for news as well. Load
-	// pattern: the store resets all connections for 7 s, and nobody relays. With the
-	// spacing of relays a host calls it 23 times in ten seconds, with this one 14
-	// times, and 283 of 295 hosts are no relays.
-	standInSpacing = 500 * time.Millisecond
-	// listTimeout bounds a listing of the members.
+	// noRelayWatchSpacing replaces watchSpacing for a host that watches the store only
+	// until it finds a relay; noRelayBackoff is its backoff. Most hosts of a fleet are
+	// in this state during a store outage, and none of them has followers.
+	noRelayWatchSpacing = 500 * time.Millisecond
+	// listTimeout bounds a listing of the members' entries.
 	listTimeout = 3 * time.Second
-	// tidyAfter is when a listing looks again for entries that were lost.
-	tidyAfter = directory.GracePeriod + 50*time.Millisecond
+	// relistDelay is the delay after which the members are listed again to find out
+	// whether missing entries are back.
+	relistDelay = directory.GracePeriod + 50*time.Millisecond
 )
 
 var (
-	// backoff spaces the calls to a store that is away.
+	// backoff spaces calls to an unreachable store.
 	backoff = retry.Backoff{Base: 100 * time.Millisecond, Max: time.Second}
-	// firstBackoff spaces the first calls of a host, which serves nobody without
-	// an answer. Load pattern: all hosts lose power and come back while the store
-	// is away; a second more until each of them asks again is a second more
-	// without service.
-	firstBackoff   = retry.Backoff{Base: 50 * time.Millisecond, Max: 200 * time.Millisecond}
-	standInBackoff = retry.Backoff{Base: 100 * time.Millisecond, Max: 2 * time.Second}
+	// startupBackoff spaces the first calls of a host that has no configuration yet
+	// and cannot serve. It is short because any further wait delays service.
+	startupBackoff = retry.Backoff{Base: 50 * time.Millisecond, Max: 200 * time.Millisecond}
+	noRelayBackoff = retry.Backoff{Base: 100 * time.Millisecond, Max: 2 * time.Second}
 )
 
-// firstCalls is how many calls are spaced by firstBackoff: about two seconds of
-// them. A store that is away for longer is not asked more often than needed.
-const firstCalls = 20
+// maxStartupCalls is the number of calls that are spaced by startupBackoff.
+const maxStartupCalls = 20
 
-// Run follows the store until the context ends.
+// Run keeps the local copy up to date, from the store or from a relay, until the
+// context ends.
 func (r *Registry) Run(ctx context.Context) {
 	rng := r.newRand()
 	attempt := 0
@@ -64,40 +59,40 @@
 			r.followRelay(ctx, host)
 			continue
 		}
-		err := r.follow(ctx)
+		err := r.syncOnce(ctx)
 		if err == nil || ctx.Err() != nil {
 			attempt = 0
 			continue
 		}
-		r.noteAway(err)
-		clock.Sleep(ctx, r.spacing(attempt, err).Delay(attempt, rng))
+		r.markUnreachable(err)
+		clock.Sleep(ctx, r.backoffAfter(attempt, err).Delay(attempt, rng))
 		attempt++
 	}
 }
 
-// newRand returns a source of random numbers that is this host's own, also where a
-// whole fleet starts at the same moment.
+// newRand returns a random number generator whose seed differs between hosts, even if
+// a whole fleet starts at the same moment.
 func (r *Registry) newRand() *rand.Rand {
 	return rand.New(rand.NewPCG(uint64(clock.Now()), membership.Score(r.self.Zone, r.self.Name)))
 }
 
-// spacing returns how calls are spaced after a number of failed ones. A store
-// that is above its rate is not asked sooner by anyone.
-func (r *Registry) spacing(attempt int, err error) retry.Backoff {
-	if r.Catalog() == nil && attempt < firstCalls && !store.Is(err, store.Throttled) {
-		return firstBackoff
+// backoffAfter returns the backoff that applies after a number of failed calls. The
+// startup backoff is not used for a store that throttles calls.
+func (r *Registry) backoffAfter(attempt int, err error) retry.Backoff {
+	if r.Catalog() == nil && attempt < maxStartupCalls && !store.Is(err, store.Throttled) {
+		return startupBackoff
 	}
-	if r.standsIn() {
-		return standInBackoff
+	if r.awaitsRelay() {
+		return noRelayBackoff
 	}
 	return backoff
 }
 
-// standsIn reports whether this host watches the store only until it has a relay.
-func (r *Registry) standsIn() bool {
+// awaitsRelay reports whether this host watches the store only until it finds a relay.
+func (r *Registry) awaitsRelay() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.followHost != nil && r.listed && !r.relays.MayRelay(r.roster.Hosts())
+	return r.followHost != nil && r.listed && !r.relaySelector.MayRelay(r.roster.Hosts())
 }
 
 func (r *Registry) setDirect(direct bool) {
@@ -106,15 +101,16 @@
 	r.direct = direct
 }
 
-// follow makes one call: a listing, or a watch from the last one.
-func (r *Registry) follow(ctx context.Context) error {
+// syncOnce makes one call to the store: a complete listing, or a watch from the
+// current revision.
+func (r *Registry) syncOnce(ctx context.Context) error {
 	r.mu.Lock()
 	after, listed, first := r.revision, r.listed, r.catalog == nil
 	r.mu.Unlock()
 	if !listed {
 		list := r.listAll
-		if first && r.without.Enabled(mechanism.HedgedListing) {
-			list = r.listFirst
+		if first && r.disabled.Enabled(mechanism.HedgedListing) {
+			list = r.listHedged
 		}
 		l, err := list(ctx)
 		if err != nil {
@@ -122,13 +118,13 @@
 		}
 		return r.replace(l)
 	}
-	began := clock.Now()
-	l, err := r.watch(ctx, after)
+	start := clock.Now()
+	l, err := r.watchStore(ctx, after)
 	if !r.isListed() {
 		return nil
 	}
 	if store.Is(err, store.Compacted) || store.Is(err, store.Restored) {
-		r.forgetRevision(err)
+		r.requireRelist(err)
 		return nil
 	}
 	if err != nil {
@@ -136,23 +132,23 @@
 	}
 	r.apply(l)
 	spacing := watchSpacing
-	if r.standsIn() {
-		spacing = standInSpacing
+	if r.awaitsRelay() {
+		spacing = noRelayWatchSpacing
 	}
-	if took := clock.Now() - began; took < spacing {
-		clock.Sleep(ctx, spacing-took)
+	if elapsed := clock.Now() - start; elapsed < spacing {
+		clock.Sleep(ctx, spacing-elapsed)
 	}
 	return nil
 }
 
-// watch waits for changes of the store, or until hearOfEpoch interrupts it.
-func (r *Registry) watch(ctx context.Context, after store.Revision) (store.Listing, error) {
+// watchStore waits for changes of the store until observeEpoch cancels it.
+func (r *Registry) watchStore(ctx context.Context, after store.Revision) (store.Listing, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	r.mu.Lock()
-	r.interrupt = cancel
+	r.cancelWatch = cancel
 	r.mu.Unlock()
-	return r.store.Watch(ctx, "", after, r.wait)
+	return r.store.Watch(ctx, "", after, r.watchWait)
 }
 
 func (r *Registry) isListed() bool {
@@ -161,16 +157,15 @@
 	return r.listed
 }
 
-// hearOfEpoch has the store listed again if it has returned from an older copy
-// since this host last heard of it. A watch that waits may not tell. It is called
-// with mu held.
-func (r *Registry) hearOfEpoch(epoch store.Epoch) {
+// observeEpoch causes a complete listing if the store has been restored from a backup,
+// since a watch in progress may not report it. It is called with mu held.
+func (r *Registry) observeEpoch(epoch store.Epoch) {
 	if !r.direct || !r.listed || epoch <= r.revision.Epoch() {
 		return
 	}
 	r.listed = false
-	if r.interrupt != nil {
-		r.interrupt()
+	if r.cancelWatch != nil {
+		r.cancelWatch()
 	}
 }
 
@@ -178,9 +173,9 @@
 	return r.store.Range(ctx, "")
 }
 
-// forgetRevision has everything listed again, because a watch from the revision that
-// this host has heard of fails.
-func (r *Registry) forgetRevision(err error) {
+// requireRelist causes a complete listing after a watch failed because its revision
+// was compacted or the store was restored.
+func (r *Registry) requireRelist(err error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.listed = false
--- a/node/registry/state.go
+++ b/node/registry/state.go
@@ -7,26 +7,26 @@
 	"github.com/dotterelswitch/dotterelswitch/node/clock"
 )
 
-// State is what a registry holds at one moment, as an operator sees it.
+// State is a snapshot of a registry for status output and metrics.
 type State struct {
-	// Away tells that neither the store nor a relay answers.
-	Away bool
-	// Heard is how long ago one of them last answered.
-	Heard    time.Duration
-	Revision store.Revision
-	// Direct tells that this host follows the store itself; Relay is the host that it
-	// follows otherwise.
+	// Unreachable is set after a failed call to the store until the store or a relay
+	// sends data again.
+	Unreachable bool
+	// SinceContact is the time since one of them last answered.
+	SinceContact time.Duration
+	Revision     store.Revision
+	// Direct is set while this host watches the store itself; otherwise Relay is the
+	// host that it follows.
 	Direct           bool
 	Relay            string
 	Followers, Hosts int
 }
 
-// State returns what the registry holds now.
 func (r *Registry) State() State {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return State{
-		Away: r.away, Heard: clock.Now() - r.heardAt, Revision: r.revision,
-		Direct: r.direct, Relay: r.followed, Followers: r.followers, Hosts: r.roster.Len(),
+		Unreachable: r.unreachable, SinceContact: clock.Now() - r.lastContact, Revision: r.revision,
+		Direct: r.direct, Relay: r.followedRelay, Followers: r.followers, Hosts: r.roster.Len(),
 	}
 }
