--- a/node/registry/follow.go
+++ b/node/registry/follow.go
@@ -25,8 +25,8 @@
 // the other host ended it.
 type FollowFunc func(ctx context.Context, address string, after store.Revision, apply func(Update)) error
 
-// RelayRefusedError reports a relay that refused or ended the stream itself, because it
-// has no recent data of the store.
+// RelayRefusedError reports a relay that refused or ended the stream itself, for example
+// because it has no recent data of the store.
 type RelayRefusedError struct{ Err error }
 
 func (e *RelayRefusedError) Error() string { return e.Err.Error() }
