--- a/node/peer/gate_client.go
+++ b/node/peer/gate_client.go
@@ -146,7 +146,7 @@
 
 // Follow subscribes to another host's changes of the store after a revision,
 // until the context or the stream ends.
-func (c *GateClient) Follow(ctx context.Context, address string, after store.Revision, receive func(registry.News)) error {
+func (c *GateClient) Follow(ctx context.Context, address string, after store.Revision, receive func(registry.Update)) error {
 	stream, err := c.gate(address).client.Follow(ctx, connect.NewRequest(&peerpb.FollowRequest{After: uint64(after)}))
 	if err != nil {
 		return callError(address, err)
@@ -154,7 +154,7 @@
 	defer func() { _ = stream.Close() }()
 	for stream.Receive() {
 		m := stream.Msg()
-		receive(registry.News{
+		receive(registry.Update{
 			Listing:  store.Listing{Revision: store.Revision(m.GetRevision()), Items: itemsFromProto(m.GetItems())},
 			Complete: m.GetComplete(),
 		})
--- a/node/peer/gate_server.go
+++ b/node/peer/gate_server.go
@@ -24,7 +24,7 @@
 	// than a version.
 	Configuration(above uint64) []byte
 	// StreamChanges sends the changes of the store after a revision.
-	StreamChanges(ctx context.Context, after store.Revision, send func(registry.News) error) error
+	StreamChanges(ctx context.Context, after store.Revision, send func(registry.Update) error) error
 	// Detached is called when the host that owns transactions is gone.
 	Detached(owner string)
 }
@@ -72,7 +72,7 @@
 
 // Follow implements peerpbconnect.GateHandler.
 func (s *gateServer) Follow(ctx context.Context, req *connect.Request[peerpb.FollowRequest], stream *connect.ServerStream[peerpb.FollowResponse]) error {
-	err := s.handler.StreamChanges(ctx, store.Revision(req.Msg.GetAfter()), func(n registry.News) error {
+	err := s.handler.StreamChanges(ctx, store.Revision(req.Msg.GetAfter()), func(n registry.Update) error {
 		return stream.Send(&peerpb.FollowResponse{Revision: uint64(n.Revision), Items: itemsToProto(n.Items), Complete: n.Complete})
 	})
 	return connect.NewError(connect.CodeUnavailable, err)
