--- a/node/cmd/dotterelswitch/platform.go
+++ b/node/cmd/dotterelswitch/platform.go
@@ -135,10 +135,10 @@
 func entrySettings(s platformSettings, boot platform.Boot, without mechanism.Disabled) entry.Settings {
 	out := entry.Settings{
 		Host: boot.Host, Places: replicaset.Places{Zone: boot.Zone, Regions: boot.Regions},
-		CallerAddress: boot.CallerAddress, ReadyAddress: boot.ReadyAddress,
+		CallerAddress: boot.CallerAddress, ReadinessAddress: boot.ReadyAddress,
 		MaxSessions: max(boot.MaxDescriptors-reservedDescriptors, 100), Workers: s.workers,
-		Grace: boot.Grace, DrainBound: boot.DrainBound, ConfigBound: boot.ConfigBound, Quota: boot.Quota,
-		PeerAddress: net.JoinHostPort(boot.IP, strconv.Itoa(boot.PeerPort)), Without: without,
+		GracePeriod: boot.Grace, DrainBound: boot.DrainBound, ConfigBound: boot.ConfigBound, QuotaTolerance: boot.Quota,
+		PeerAddress: net.JoinHostPort(boot.IP, strconv.Itoa(boot.PeerPort)), Disabled: without,
 	}
 	if s.metricsPort > 0 {
 		out.MetricsAddress = net.JoinHostPort(boot.IP, strconv.Itoa(s.metricsPort))
--- a/node/edge/caller.go
+++ b/node/edge/caller.go
@@ -16,37 +16,37 @@
 	"github.com/dotterelswitch/dotterelswitch/node/replicaset"
 )
 
-// arrival is a message and when it was read.
-type arrival struct {
-	message statement.Message
-	at      time.Duration
+// receivedMessage is a message with the time at which it was read.
+type receivedMessage struct {
+	message    statement.Message
+	receivedAt time.Duration
 }
 
-// caller is one caller's connection. A worker runs its messages one after the
-// other; only the event loop reads from it.
+// caller is one caller's connection. The event loop reads it; at most one worker
+// at a time processes its messages, in order.
 type caller struct {
 	gateway *Gateway
 	conn    gnet.Conn
-	// buf holds an incomplete message; it belongs to the event loop.
+	// buf holds an incomplete message. Only the event loop accesses it.
 	buf []byte
-	// ctx ends when the caller has hung up.
+	// ctx is cancelled when the caller disconnects.
 	ctx    context.Context
 	cancel context.CancelFunc
 
 	// mu guards the fields below.
 	mu      sync.Mutex
-	inbox   []arrival
+	inbox   []receivedMessage
 	running bool
 	closed  bool
-	// restingSince is when the open transaction's last answer was sent; zero
-	// while none rests.
-	restingSince time.Duration
+	// idleInTxSince is when the open transaction became idle; zero while no
+	// transaction is idle.
+	idleInTxSince time.Duration
 
-	// The fields below belong to the worker that runs the session, or to the
-	// holder of mu while none does.
-	state *session.Session
-	// credential proves who the caller is; team is in whose name its newest
-	// statement was admitted.
+	// The fields below are accessed by the running worker, or with mu held while
+	// none is running.
+	session *session.Session
+	// credential is the key given at login. team is the team for which the latest
+	// statement was authorized.
 	credential catalog.Credential
 	team       catalog.Team
 	tx         *replicaset.Tx
@@ -58,11 +58,11 @@
 	return s
 }
 
-// receive takes bytes of the caller. It runs on the event loop.
+// receive decodes and queues bytes from the caller. It runs on the event loop.
 func (s *caller) receive(data []byte) error {
 	s.buf = append(s.buf, data...)
 	now := clock.Now()
-	var got []arrival
+	var received []receivedMessage
 	for {
 		m, size, err := s.gateway.proto.Decode(s.buf)
 		if err != nil {
@@ -71,40 +71,40 @@
 		if size == 0 {
 			break
 		}
-		got = append(got, arrival{message: m, at: now})
+		received = append(received, receivedMessage{message: m, receivedAt: now})
 		s.buf = s.buf[size:]
 	}
 	if len(s.buf) == 0 {
 		s.buf = nil
 	}
-	if len(got) > 0 {
-		s.enqueue(got)
+	if len(received) > 0 {
+		s.enqueue(received)
 	}
 	return nil
 }
 
-func (s *caller) enqueue(got []arrival) {
+func (s *caller) enqueue(messages []receivedMessage) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.inbox = append(s.inbox, got...)
+	s.inbox = append(s.inbox, messages...)
 	s.startWorker()
 }
 
-// startWorker runs the session unless a worker does already. It is called with
-// mu held.
+// startWorker starts a worker for the session unless one is running. mu must be
+// held.
 func (s *caller) startWorker() {
 	if s.running {
 		return
 	}
 	s.running = true
 	if err := s.gateway.workers.Submit(s.work); err != nil {
-		// The pool is closed: the host is stopping and the caller is cut.
+		// The pool is closed because the host is stopping.
 		s.running = false
 		_ = s.conn.Close()
 	}
 }
 
-// work runs messages until there are none.
+// work processes messages until the inbox is empty.
 func (s *caller) work() {
 	for {
 		a, ok := s.next()
@@ -112,50 +112,51 @@
 			return
 		}
 		if !s.handle(a) {
-			s.end()
+			s.close()
 		}
 	}
 }
 
-// next takes the next message, or ends the worker's turn.
-func (s *caller) next() (arrival, bool) {
+// next dequeues a message. It returns false, and marks the worker as finished, if
+// there is none or the connection is closed.
+func (s *caller) next() (receivedMessage, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.closed {
-		s.dropTx()
+		s.rollbackTxLocked()
 		s.inbox, s.running = nil, false
-		return arrival{}, false
+		return receivedMessage{}, false
 	}
 	if len(s.inbox) == 0 {
 		s.running = false
 		if s.tx != nil {
-			s.restingSince = clock.Now()
+			s.idleInTxSince = clock.Now()
 		}
-		s.closeWhenDraining()
-		return arrival{}, false
+		s.closeIfDraining()
+		return receivedMessage{}, false
 	}
 	a := s.inbox[0]
 	s.inbox = s.inbox[1:]
-	s.restingSince = 0
+	s.idleInTxSince = 0
 	return a, true
 }
 
-// handle runs one message; it reports whether the session goes on.
-func (s *caller) handle(a arrival) bool {
+// handle processes one message. It reports whether the session continues.
+func (s *caller) handle(a receivedMessage) bool {
 	switch a.message.Kind {
 	case statement.Terminate:
 		return false
 	case statement.Login:
 		return s.login(a.message)
 	case statement.Query:
-		if s.state == nil {
+		if s.session == nil {
 			s.send(s.gateway.proto.EncodeFatal(statement.Invalid, "a session starts with a login"))
 			return false
 		}
-		s.query(a)
+		s.handleQuery(a)
 		return true
 	default:
-		s.gateway.note(eventlog.CallerViolation, func(l *zerolog.Event) {
+		s.gateway.logLimited(eventlog.CallerViolation, func(l *zerolog.Event) {
 			l.Str("remote", s.conn.RemoteAddr().String()).Str("reason", "the message is not known")
 		})
 		s.send(s.gateway.proto.EncodeFatal(statement.Invalid, "the message is not known"))
@@ -163,9 +164,9 @@
 	}
 }
 
-// login starts the session on a database.
+// login authenticates the caller and opens the session on a database.
 func (s *caller) login(m statement.Message) bool {
-	if s.state != nil {
+	if s.session != nil {
 		s.send(s.gateway.proto.EncodeFatal(statement.Invalid, "the session has started already"))
 		return false
 	}
@@ -176,108 +177,111 @@
 	}
 	route, found := c.Route(m.Database)
 	if !found {
-		s.gateway.note(eventlog.CallerRejected, func(l *zerolog.Event) {
+		s.gateway.logLimited(eventlog.CallerRejected, func(l *zerolog.Event) {
 			l.Str("database", m.Database).Uint64("version", c.Version).Str("reason", "unknown database")
 		})
 		s.send(s.gateway.proto.EncodeFatal(statement.UnknownDatabase, "no route has this name"))
 		return false
 	}
 	credential := catalog.NewCredential(m.Key)
-	team, admitted := c.Authorize(route, credential)
-	if !admitted {
-		s.gateway.note(eventlog.CallerRejected, func(l *zerolog.Event) {
+	team, authorized := c.Authorize(route, credential)
+	if !authorized {
+		s.gateway.logLimited(eventlog.CallerRejected, func(l *zerolog.Event) {
 			l.Str("database", m.Database).Str("key", credential.Fingerprint()).Uint64("version", c.Version).Str("reason", "unknown key")
 		})
 		s.send(s.gateway.proto.EncodeFatal(statement.Unauthorized, "no team holds this key"))
 		return false
 	}
-	s.state, s.credential, s.team = session.New(m.Database), credential, team
+	s.session, s.credential, s.team = session.New(m.Database), credential, team
 	s.send(s.gateway.proto.EncodeWelcome())
 	return true
 }
 
 func (s *caller) send(data []byte) {
 	if err := s.conn.AsyncWrite(data, nil); err != nil {
-		// The caller has hung up; OnClose ends the session.
+		// The connection is closed; OnClose ends the session.
 		s.cancel()
 	}
 }
 
-// end closes the connection after what was sent.
-func (s *caller) end() {
+// close closes the connection once pending answers have been written.
+func (s *caller) close() {
 	s.mu.Lock()
 	s.closed = true
 	s.mu.Unlock()
-	s.closeAfterAnswers()
+	s.flushAndClose()
 }
 
-// closeAfterAnswers closes the connection once what was sent has left: an empty
-// write queues the close behind the answers. It fails only when the connection
-// is closed already.
-func (s *caller) closeAfterAnswers() {
+// flushAndClose closes the connection once pending answers have been written: an
+// empty write queues the close behind them. It fails only if the connection is
+// already closed.
+func (s *caller) flushAndClose() {
 	_ = s.conn.AsyncWrite(nil, func(c gnet.Conn, _ error) error { return c.Close() })
 }
 
-// hangUp notes that the connection is gone. What runs goes on; nothing new is
-// started, and an open transaction is rolled back.
-func (s *caller) hangUp() {
+// onDisconnect handles the loss of the connection. A running statement completes,
+// no further one is started, and an open transaction is rolled back.
+func (s *caller) onDisconnect() {
 	s.cancel()
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.closed = true
 	if !s.running {
-		s.dropTx()
+		s.rollbackTxLocked()
 	}
 }
 
-// dropTx rolls the open transaction back. It is called with mu held and no
-// statement running.
-func (s *caller) dropTx() {
+// rollbackTxLocked rolls back the open transaction. mu must be held and no
+// statement may be running.
+func (s *caller) rollbackTxLocked() {
 	if s.tx != nil {
 		s.tx.Rollback()
 		s.tx = nil
 	}
 }
 
-// closeIfIdle closes a session that has nothing open or outstanding.
+// closeIfIdle closes the session of a draining gateway if it has no open
+// transaction and no pending message.
 func (s *caller) closeIfIdle() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if !s.running {
-		s.closeWhenDraining()
+		s.closeIfDraining()
 	}
 }
 
-// closeWhenDraining is called with mu held.
-func (s *caller) closeWhenDraining() {
+// closeIfDraining closes an idle session if the gateway is draining. mu must be
+// held.
+func (s *caller) closeIfDraining() {
 	if !s.gateway.draining.Load() || s.closed || len(s.inbox) > 0 {
 		return
 	}
-	if s.state != nil && s.state.State != statement.Idle {
+	if s.session != nil && s.session.State != statement.Idle {
 		return
 	}
 	s.closed = true
-	s.closeAfterAnswers()
+	s.flushAndClose()
 }
 
-// abortResting ends a transaction that rests between statements. The caller
-// learns of it with its next one.
-func (s *caller) abortResting(reason string) {
+// abortIdleTx rolls back a transaction that is idle between statements. The
+// caller gets the error with its next statement.
+func (s *caller) abortIdleTx(reason string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.running || s.tx == nil {
 		return
 	}
-	s.dropTx()
-	s.state.AbortTransaction(reason)
+	s.rollbackTxLocked()
+	s.session.AbortTransaction(reason)
 }
 
-// abortIdle ends a transaction that has rested since before the given time.
-func (s *caller) abortIdle(before time.Duration) {
+// abortTxIdleSince rolls back a transaction that has been idle since before the
+// given time.
+func (s *caller) abortTxIdleSince(before time.Duration) {
 	s.mu.Lock()
-	resting := s.restingSince
+	since := s.idleInTxSince
 	s.mu.Unlock()
-	if resting != 0 && resting < before {
-		s.abortResting("the transaction was idle for too long")
+	if since != 0 && since < before {
+		s.abortIdleTx("the transaction was idle for too long")
 	}
 }
--- a/node/edge/gateway.go
+++ b/node/edge/gateway.go
@@ -18,28 +18,28 @@
 
 // Config holds the limits of a gateway.
 type Config struct {
-	// Address is where callers connect, as host:port.
+	// Address is the listen address for callers, as host:port.
 	Address string
-	// MaxSessions bounds the callers of this host.
+	// MaxSessions bounds the concurrent sessions of this host.
 	MaxSessions int
-	// Workers bounds the statements that run at once.
+	// Workers bounds the statements that run concurrently.
 	Workers int
 	Log     zerolog.Logger
-	// Budget bounds the lines that callers cause.
-	Budget *eventlog.Budget
+	// LogBudget limits the rate of log lines caused by callers.
+	LogBudget *eventlog.Budget
 }
 
 // Gateway accepts callers. It is safe for concurrent use.
 type Gateway struct {
 	gnet.BuiltinEventEngine
-	cfg      Config
-	proto    Protocol
-	backend  Backend
-	observer Observer
-	workers  *ants.Pool
-	engine   gnet.Engine
-	booted   chan struct{}
-	// draining is set once sessions are closed as soon as they are idle.
+	cfg       Config
+	proto     Protocol
+	backend   Backend
+	observer  Observer
+	workers   *ants.Pool
+	engine    gnet.Engine
+	listening chan struct{}
+	// draining is set when idle sessions are to be closed.
 	draining atomic.Bool
 
 	// mu guards sessions.
@@ -55,7 +55,7 @@
 	}
 	return &Gateway{
 		cfg: cfg, proto: p, backend: b, observer: o, workers: workers,
-		booted: make(chan struct{}), sessions: make(map[*caller]struct{}),
+		listening: make(chan struct{}), sessions: make(map[*caller]struct{}),
 	}, nil
 }
 
@@ -65,13 +65,13 @@
 		gnet.WithReuseAddr(true), gnet.WithTCPNoDelay(gnet.TCPNoDelay), gnet.WithLogger(quietlog.Logger{}))
 }
 
-// Booted is closed once the listener accepts.
-func (g *Gateway) Booted() <-chan struct{} { return g.booted }
+// Listening returns a channel that is closed once the gateway accepts connections.
+func (g *Gateway) Listening() <-chan struct{} { return g.listening }
 
 // OnBoot implements gnet.EventHandler.
 func (g *Gateway) OnBoot(e gnet.Engine) gnet.Action {
 	g.engine = e
-	close(g.booted)
+	close(g.listening)
 	return gnet.None
 }
 
@@ -86,7 +86,7 @@
 	}
 	g.mu.Unlock()
 	if full {
-		g.note(eventlog.CallerRejected, func(l *zerolog.Event) {
+		g.logLimited(eventlog.CallerRejected, func(l *zerolog.Event) {
 			l.Str("reason", "too many sessions").Int("limit", g.cfg.MaxSessions)
 		})
 		return g.proto.EncodeFatal(statement.TooManyConnections, "the host has too many sessions"), gnet.Close
@@ -103,7 +103,7 @@
 	g.mu.Lock()
 	delete(g.sessions, s)
 	g.mu.Unlock()
-	s.hangUp()
+	s.onDisconnect()
 	return gnet.None
 }
 
@@ -115,33 +115,33 @@
 		return gnet.Close
 	}
 	if err := s.receive(data); err != nil {
-		g.note(eventlog.CallerViolation, func(l *zerolog.Event) { l.Err(err).Str("remote", c.RemoteAddr().String()) })
-		// The connection is closed right after; whether this arrives or not.
+		g.logLimited(eventlog.CallerViolation, func(l *zerolog.Event) { l.Err(err).Str("remote", c.RemoteAddr().String()) })
+		// Best effort: the connection is closed in any case.
 		_, _ = c.Write(g.proto.EncodeFatal(statement.TooLarge, err.Error()))
 		return gnet.Close
 	}
 	return gnet.None
 }
 
-// note writes a line that a caller caused, within the budget.
-func (g *Gateway) note(e eventlog.Event, fields func(*zerolog.Event)) {
-	leftOut, ok := g.cfg.Budget.Allow(e, clock.Now())
+// logLimited logs an event caused by a caller, within the log budget.
+func (g *Gateway) logLimited(e eventlog.Event, fields func(*zerolog.Event)) {
+	suppressed, ok := g.cfg.LogBudget.Allow(e, clock.Now())
 	if !ok {
 		return
 	}
 	line := e.Warn(g.cfg.Log)
 	fields(line)
-	line.Int("left_out", leftOut).Send()
+	line.Int("left_out", suppressed).Send()
 }
 
-// Sessions returns the number of callers.
+// Sessions returns the number of open sessions.
 func (g *Gateway) Sessions() int {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return len(g.sessions)
 }
 
-func (g *Gateway) all() []*caller {
+func (g *Gateway) allSessions() []*caller {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	out := make([]*caller, 0, len(g.sessions))
@@ -151,47 +151,49 @@
 	return out
 }
 
-// drainPoll is how often a draining gateway looks for sessions to close.
-const drainPoll = 20 * time.Millisecond
+// drainPollInterval is how often a draining gateway checks for idle sessions.
+const drainPollInterval = 20 * time.Millisecond
 
-// Drain closes sessions as they become idle until none is left or the context
-// ends. It reports whether none is left. Callers that come meanwhile are
-// closed too, once what they asked is answered.
+// Drain closes sessions as they become idle until none is left or ctx is done. It
+// reports whether none is left. Sessions opened during the drain are closed once
+// their statements have been answered.
 func (g *Gateway) Drain(ctx context.Context) bool {
 	g.draining.Store(true)
 	for {
-		left := g.all()
-		if len(left) == 0 {
+		remaining := g.allSessions()
+		if len(remaining) == 0 {
 			return true
 		}
-		for _, s := range left {
+		for _, s := range remaining {
 			s.closeIfIdle()
 		}
 		select {
-		case <-time.After(drainPoll):
+		case <-time.After(drainPollInterval):
 		case <-ctx.Done():
 			return false
 		}
 	}
 }
 
-// AbortTransactions ends the open transactions that rest between statements.
+// AbortTransactions rolls back the open transactions that are idle between
+// statements.
 func (g *Gateway) AbortTransactions(reason string) {
-	for _, s := range g.all() {
-		s.abortResting(reason)
+	for _, s := range g.allSessions() {
+		s.abortIdleTx(reason)
 	}
 }
 
-// Stop closes the listener and all sessions.
+// Stop closes the listener and all connections.
 func (g *Gateway) Stop(ctx context.Context) error {
 	err := g.engine.Stop(ctx)
 	g.workers.Release()
 	return err
 }
 
-// EndIdle ends the transactions that have rested since before the given time.
-func (g *Gateway) EndIdle(before time.Duration) {
-	for _, s := range g.all() {
-		s.abortIdle(before)
+// AbortIdleTransactions rolls back the transactions that have been idle since
+// before the given time.
+func (g *Gateway) AbortIdleTransactions(before time.Duration) {
+	for _, s := range g.allSessions() {
+		s.abortTxIdleSince(before)
 	}
 }
--- a/node/edge/query.go
+++ b/node/edge/query.go
@@ -12,44 +12,43 @@
 )
 
 const (
-	// timeoutMargin is what is left of a route's timeout for the way back.
-	timeoutMargin = 20 * time.Millisecond
-	// runMargin is what is left of the timeout for running a statement that has
-	// waited: the queue of a busy member (24 statements of 14 ms on three slots)
-	// and a round trip between regions.
-	runMargin = 150 * time.Millisecond
-	// attemptShare and minAttempt bound one attempt of a read: a member whose
-	// answer got lost looks like one that is slow, and another can answer in
-	// time. Half of a target is more than a full queue of a member and the
-	// longest statement take on the deployments.
-	attemptShare = 0.5
-	minAttempt   = 250 * time.Millisecond
+	// responseMargin is the part of a statement timeout reserved for returning the
+	// answer.
+	responseMargin = 20 * time.Millisecond
+	// executionMargin is the part of a statement timeout reserved for execution:
+	// the queue of a busy member and a round trip between regions.
+	executionMargin = 150 * time.Millisecond
+	// attemptFraction, of the route's target latency, and minAttemptTime bound one
+	// attempt of a read, so that another member can still answer in time if the
+	// answer is lost.
+	attemptFraction = 0.5
+	minAttemptTime  = 250 * time.Millisecond
 )
 
-// query runs one statement and answers it.
-func (s *caller) query(a arrival) {
+// handleQuery runs one statement and sends the answer.
+func (s *caller) handleQuery(m receivedMessage) {
 	c := s.gateway.backend.Catalog()
-	record := Record{Database: s.state.Database, Key: s.credential.Fingerprint(), Version: c.Version}
-	out := s.answer(c, a, &record)
+	record := Record{Database: s.session.Database, Key: s.credential.Fingerprint(), Version: c.Version}
+	out := s.runStatement(c, m, &record)
 	if out.Answer.Code != statement.OK && out.Cause == "" {
 		out.Cause = out.Answer.Detail
 	}
 	s.send(s.gateway.proto.EncodeAnswer(out.Answer))
-	record.Team, record.Outcome, record.Took = s.team.Name, out, clock.Now()-a.at
+	record.Team, record.Outcome, record.Elapsed = s.team.Name, out, clock.Now()-m.receivedAt
 	s.gateway.observer.Finished(record)
 }
 
-// answer returns what becomes of one statement under a configuration.
-func (s *caller) answer(c *catalog.Catalog, a arrival, record *Record) replicaset.Outcome {
-	st, known := s.state.ResolvePrepared(a.message.Statement)
+// runStatement runs one statement under a configuration.
+func (s *caller) runStatement(c *catalog.Catalog, m receivedMessage, record *Record) replicaset.Outcome {
+	st, known := s.session.ResolvePrepared(m.message.Statement)
 	record.Statement = st
-	route, found := c.Route(s.state.Database)
-	if found && !s.admit(c, route) && st.Kind != statement.Rollback {
-		return replicaset.Outcome{Answer: s.failWith(st, statement.ErrorAnswer(statement.Unauthorized, "no team holds this session's key any more", statement.Idle))}
+	route, found := c.Route(s.session.Database)
+	if found && !s.authorize(c, route) && st.Kind != statement.Rollback {
+		return replicaset.Outcome{Answer: s.failPossibleCommit(st, statement.ErrorAnswer(statement.Unauthorized, "no team holds this session's key any more", statement.Idle))}
 	}
-	if answer, local := s.state.AnswerLocally(st); local {
-		if st.Kind == statement.Rollback && s.state.State == statement.Idle {
-			s.dropOwnTx()
+	if answer, local := s.session.AnswerLocally(st); local {
+		if st.Kind == statement.Rollback && s.session.State == statement.Idle {
+			s.rollbackTx()
 		}
 		return replicaset.Outcome{Answer: answer}
 	}
@@ -60,59 +59,59 @@
 		return replicaset.Outcome{Answer: s.failStatement(statement.ErrorAnswer(statement.UnknownDatabase, "the route was removed", statement.Idle))}
 	}
 	record.Route = route
-	return s.runRemote(st, route, a.at)
+	return s.runOnMember(st, route, m.receivedAt)
 }
 
-// admit finds the caller's team under a configuration. It reports false for a
-// caller that may not use the route: its key was taken away while its session
-// was open. A transaction that began in the name of another team is dropped, as
-// its connection belongs to that team.
-func (s *caller) admit(c *catalog.Catalog, route catalog.Route) bool {
-	team, admitted := c.Authorize(route, s.credential)
+// authorize updates the caller's team from a configuration. It returns false if
+// the caller's key was revoked while its session was open. A transaction begun
+// under another team is rolled back, because its connection belongs to that team.
+func (s *caller) authorize(c *catalog.Catalog, route catalog.Route) bool {
+	team, authorized := c.Authorize(route, s.credential)
 	if s.tx != nil && team.Name != s.team.Name {
-		s.dropOwnTx()
-		s.state.AbortTransaction("the caller's team has changed")
+		s.rollbackTx()
+		s.session.AbortTransaction("the caller's team has changed")
 	}
 	s.team = team
-	return admitted
+	return authorized
 }
 
-// failStatement fails the open transaction, if there is one, along with an
-// answer.
+// failStatement marks an open transaction as failed and returns the answer with
+// the resulting state.
 func (s *caller) failStatement(a statement.Answer) statement.Answer {
-	s.dropOwnTx()
-	s.state.FailTransaction()
-	a.State = s.state.State
+	s.rollbackTx()
+	s.session.FailTransaction()
+	a.State = s.session.State
 	return a
 }
 
-// failWith is failStatement for a statement that may be a commit, which ends its
-// transaction whatever comes of it.
-func (s *caller) failWith(st statement.Statement, a statement.Answer) statement.Answer {
+// failPossibleCommit is failStatement for a statement that may be a commit, which
+// ends its transaction even if it fails.
+func (s *caller) failPossibleCommit(st statement.Statement, a statement.Answer) statement.Answer {
 	a = s.failStatement(a)
 	if st.Kind == statement.Commit {
-		s.state.EndTransaction()
-		a.State = s.state.State
+		s.session.EndTransaction()
+		a.State = s.session.State
 	}
 	return a
 }
 
-func (s *caller) dropOwnTx() {
+// rollbackTx is rollbackTxLocked for the running worker, which does not need mu.
+func (s *caller) rollbackTx() {
 	if s.tx != nil {
 		s.tx.Rollback()
 		s.tx = nil
 	}
 }
 
-// runRemote runs a statement on a member.
-func (s *caller) runRemote(st statement.Statement, route catalog.Route, arrived time.Duration) replicaset.Outcome {
-	w := s.newWork(st, route, arrived)
+// runOnMember runs a statement on a member.
+func (s *caller) runOnMember(st statement.Statement, route catalog.Route, receivedAt time.Duration) replicaset.Outcome {
+	w := s.newWork(st, route, receivedAt)
 	set := s.gateway.backend.AwaitSet(s.ctx, route.Service, w.StartBy)
 	if set == nil {
 		return replicaset.Outcome{Answer: s.failStatement(statement.ErrorAnswer(statement.Busy, "no member of the service is known", statement.Idle))}
 	}
 	if s.tx != nil {
-		return s.inTransaction(set, w)
+		return s.runInTransaction(set, w)
 	}
 	if retryAfter, admitted := s.gateway.backend.AdmitOperation(s.ctx, s.team); !admitted {
 		return s.refuseOperation(st, retryAfter)
@@ -124,55 +123,54 @@
 	return out
 }
 
-// startOperation runs the first statement of an operation: a single one, or the
-// first of a transaction that needs a member.
+// startOperation runs a statement outside a transaction, or the first statement
+// of a transaction that needs a member.
 func (s *caller) startOperation(set *replicaset.Set, w replicaset.Work) replicaset.Outcome {
-	if s.state.State == statement.Open {
-		return s.inTransaction(set, w)
+	if s.session.State == statement.Open {
+		return s.runInTransaction(set, w)
 	}
 	if w.Statement.Writes() {
 		out := set.Write(s.ctx, w)
-		s.noteCommit(out.Answer)
+		s.recordCommit(out.Answer)
 		return out
 	}
 	return set.Read(s.ctx, w)
 }
 
-// refuseOperation refuses an operation beyond the team's limit. Nothing of it was
-// sent to a member.
+// refuseOperation refuses an operation that exceeds the team's limit.
 func (s *caller) refuseOperation(st statement.Statement, retryAfter time.Duration) replicaset.Outcome {
-	a := s.failWith(st, statement.ErrorAnswer(statement.Busy, replicaset.RetryHint(retryAfter), statement.Idle))
+	a := s.failPossibleCommit(st, statement.ErrorAnswer(statement.Busy, replicaset.RetryHint(retryAfter), statement.Idle))
 	return replicaset.Outcome{Answer: a, Cause: eventlog.ReasonQuota}
 }
 
-// noteCommit remembers the position of a commit that the caller is told of.
-func (s *caller) noteCommit(a statement.Answer) {
-	if a.Code == statement.OK && s.state.LastCommit.Less(a.Position) {
-		s.state.LastCommit = a.Position
+// recordCommit records the log position of an acknowledged commit.
+func (s *caller) recordCommit(a statement.Answer) {
+	if a.Code == statement.OK && s.session.LastCommit.Less(a.Position) {
+		s.session.LastCommit = a.Position
 	}
 }
 
-func (s *caller) newWork(st statement.Statement, route catalog.Route, arrived time.Duration) replicaset.Work {
-	endBy := arrived + route.StatementTimeout - timeoutMargin
-	startBy := endBy - runMargin
-	freshBy := arrived + time.Duration(connpool.OnTimeWaitFraction*float64(route.TargetLatency))
+func (s *caller) newWork(st statement.Statement, route catalog.Route, receivedAt time.Duration) replicaset.Work {
+	endDeadline := receivedAt + route.StatementTimeout - responseMargin
+	startDeadline := endDeadline - executionMargin
+	onTimeUntil := receivedAt + time.Duration(connpool.OnTimeWaitFraction*float64(route.TargetLatency))
 	return replicaset.Work{
-		Statement: st, Values: s.state.Values(), Committed: s.state.LastCommit, Route: route, Team: s.team.Name,
-		ReadOnly: s.state.ReadOnly, Received: arrived,
-		AimBy: arrived + route.TargetLatency, FreshBy: min(freshBy, startBy), StartBy: startBy, EndBy: endBy,
-		AttemptTime: max(time.Duration(attemptShare*float64(route.TargetLatency)), minAttempt),
+		Statement: st, Values: s.session.Values(), Committed: s.session.LastCommit, Route: route, Team: s.team.Name,
+		ReadOnly: s.session.ReadOnly, Received: receivedAt,
+		AimBy: receivedAt + route.TargetLatency, FreshBy: min(onTimeUntil, startDeadline), StartBy: startDeadline, EndBy: endDeadline,
+		AttemptTime: max(time.Duration(attemptFraction*float64(route.TargetLatency)), minAttemptTime),
 	}
 }
 
-// inTransaction runs a statement in the open transaction. The transaction gets
-// its member with its first statement.
-func (s *caller) inTransaction(set *replicaset.Set, w replicaset.Work) replicaset.Outcome {
+// runInTransaction runs a statement in the open transaction. The first statement
+// selects the transaction's member.
+func (s *caller) runInTransaction(set *replicaset.Set, w replicaset.Work) replicaset.Outcome {
 	out := replicaset.Outcome{}
 	if s.tx == nil {
 		tx, begun := set.Begin(s.ctx, w)
 		out = begun
 		if tx == nil {
-			out.Answer = s.failWith(w.Statement, out.Answer)
+			out.Answer = s.failPossibleCommit(w.Statement, out.Answer)
 			return out
 		}
 		s.tx = tx
@@ -180,14 +178,14 @@
 	out.Member, out.Gate = s.tx.Member(), s.tx.Gate()
 	switch w.Statement.Kind {
 	case statement.Commit:
-		out.Answer = s.tx.Commit(s.ctx, w, s.state.Wrote)
-		if s.state.Wrote {
-			s.noteCommit(out.Answer)
+		out.Answer = s.tx.Commit(s.ctx, w, s.session.Wrote)
+		if s.session.Wrote {
+			s.recordCommit(out.Answer)
 		}
 		s.tx = nil
-		s.state.EndTransaction()
+		s.session.EndTransaction()
 	default:
-		s.state.Wrote = s.state.Wrote || w.Statement.Writes()
+		s.session.Wrote = s.session.Wrote || w.Statement.Writes()
 		out.Answer = s.tx.Do(s.ctx, w)
 		if out.Answer.State != statement.Open {
 			out.Answer = s.failStatement(out.Answer)
--- a/node/entry/dial.go
+++ b/node/entry/dial.go
@@ -45,11 +45,11 @@
 
 // maxIdlePerServer bounds idle connections to the platform: one for the watch
 // and a few for other calls.
-const maxIdlePerServer = 4
+const maxIdleConnsPerHost = 4
 
 // HTTPClient returns a client for calls to the platform over Dial.
 func HTTPClient() *http.Client {
 	return &http.Client{Transport: &http.Transport{
-		DialContext: Dial, MaxIdleConnsPerHost: maxIdlePerServer, DisableCompression: true,
+		DialContext: Dial, MaxIdleConnsPerHost: maxIdleConnsPerHost, DisableCompression: true,
 	}}
 }
--- a/node/entry/entry.go
+++ b/node/entry/entry.go
@@ -41,15 +41,15 @@
 	Documents registry.Documents
 	Promotion promoter.Caller
 	// ReadyPath is where the platform asks whether the host takes callers.
-	ReadyPath string
+	ReadinessPath string
 }
 
 // Settings are what a host is told when it starts.
 type Settings struct {
-	Host          string
-	Places        replicaset.Places
-	CallerAddress string
-	ReadyAddress  string
+	Host             string
+	Places           replicaset.Places
+	CallerAddress    string
+	ReadinessAddress string
 	// MetricsAddress serves the metrics and shows the host to operators; empty
 	// for neither.
 	MetricsAddress string
@@ -58,16 +58,16 @@
 	MaxSessions int
 	Workers     int
 	// Grace is the time from the signal to stop until the process is killed.
-	Grace time.Duration
+	GracePeriod time.Duration
 	// DrainBound is the latest time after a member's notice at which it may be
 	// sent new work.
 	DrainBound time.Duration
 	// ConfigBound is how soon a change of the configuration must be in force.
 	ConfigBound time.Duration
 	// Quota is how exactly the teams' limits are to be kept.
-	Quota quota.Tolerance
+	QuotaTolerance quota.Tolerance
 	// Without is what the host is run without.
-	Without mechanism.Disabled
+	Disabled mechanism.Disabled
 }
 
 // Host is one running entry host.
@@ -81,7 +81,7 @@
 	metrics  *hostMetrics
 	budget   *eventlog.Budget
 	reads    readCounts
-	talk     *talkCounts
+	traffic  *trafficCounts
 	ctx      context.Context
 	cancel   context.CancelFunc
 	wg       sync.WaitGroup
@@ -90,22 +90,22 @@
 	gates    *peer.GateClient
 	limiter  *limits.Limiter
 	// looks are shared by all groups of the host.
-	looks singleflight.Group
+	livenessProbes singleflight.Group
 	// startedAt is when the host started.
 	startedAt time.Duration
 	// owner names this host and its incarnation to gates.
 	owner    string
 	stopping atomic.Bool
 	// jobs counts what other hosts have running here.
-	jobs   atomic.Int64
-	wake   chan struct{}
-	failed chan error
+	remoteJobs    atomic.Int64
+	reconcileWake chan struct{}
+	failed        chan error
 	// fleet is the hosts that the sets were last told of, and starting judges
 	// whether they are known well enough; fleetKnown tells that they are. They
 	// belong to reconcile.
-	fleet      gates.Fleet
-	starting   startup.FleetStability
-	fleetKnown bool
+	fleet          gates.Fleet
+	fleetStability startup.FleetStability
+	fleetWasStable bool
 
 	// mu guards sets and promoters, both by service.
 	mu        sync.RWMutex
@@ -117,18 +117,18 @@
 func Start(s Settings, a Adapter, dial replicaset.DialFunc, log zerolog.Logger) (*Host, error) {
 	h := &Host{
 		settings: s, adapter: a, dial: dial, log: log.With().Str("host", s.Host).Logger(),
-		wake: make(chan struct{}, 1), failed: make(chan error, 1), sets: map[string]*replicaset.Set{}, promoters: map[string]*promoter.Promoter{},
-		metrics: newHostMetrics(), budget: eventlog.NewBudget(), talk: newTalkCounts(), startedAt: clock.Now(), fleet: gates.NewFleet(nil, s.Places.Regions),
+		reconcileWake: make(chan struct{}, 1), failed: make(chan error, 1), sets: map[string]*replicaset.Set{}, promoters: map[string]*promoter.Promoter{},
+		metrics: newHostMetrics(), budget: eventlog.NewBudget(), traffic: newTrafficCounts(), startedAt: clock.Now(), fleet: gates.NewFleet(nil, s.Places.Regions),
 	}
 	h.ctx, h.cancel = context.WithCancel(context.Background())
 	h.owner = fmt.Sprintf("%s@%d", s.Host, clock.Now())
 	h.gates = peer.NewGateClient(h.ctx, dial, h.owner)
 	h.registry = registry.New(registry.Config{
-		Store: registry.Counted(a.Store, h.storeCalled), Documents: a.Documents,
+		Store: registry.Counted(a.Store, h.recordStoreCall), Documents: a.Documents,
 		Self:        gates.Host{Name: s.Host, Zone: s.Places.Zone, Address: s.PeerAddress},
-		ConfigBound: s.ConfigBound, FollowHost: h.gates.Follow, AskConfig: h.gates.Configuration, Without: s.Without, Changed: h.poke, Log: h.log,
+		ConfigBound: s.ConfigBound, FollowHost: h.gates.Follow, AskConfig: h.gates.Configuration, Without: s.Disabled, Changed: h.wakeReconcile, Log: h.log,
 	})
-	h.limiter = limits.New(limits.Config{Self: quota.Host{Name: s.Host, Region: s.Places.Region(s.Places.Zone)}, Tolerance: s.Quota, Ask: h.requestGrant, Limit: h.limitOf, Remembered: h.registry.Remembered})
+	h.limiter = limits.New(limits.Config{Self: quota.Host{Name: s.Host, Region: s.Places.Region(s.Places.Zone)}, Tolerance: s.QuotaTolerance, Ask: h.requestGrant, Limit: h.limitOf, Remembered: h.registry.Remembered})
 	if err := h.listen(); err != nil {
 		h.cancel()
 		return nil, err
@@ -145,26 +145,26 @@
 	h.wg.Go(func() { h.registry.KeepPresence(h.ctx) })
 	h.wg.Go(func() { h.registry.FollowPeers(h.ctx, h.gates.Listing) })
 	h.wg.Go(func() { h.reconcile(h.ctx) })
-	h.wg.Go(func() { h.endIdleTransactions(h.ctx) })
-	h.wg.Go(func() { h.watchGroups(h.ctx) })
+	h.wg.Go(func() { h.abortIdleTransactions(h.ctx) })
+	h.wg.Go(func() { h.tickGroups(h.ctx) })
 	h.wg.Go(func() { h.reportGauges(h.ctx) })
 	h.wg.Go(func() { h.logReads(h.ctx) })
-	h.wg.Go(func() { h.logTalk(h.ctx) })
-	h.wg.Go(func() { h.logNews(h.ctx) })
+	h.wg.Go(func() { h.logTraffic(h.ctx) })
+	h.wg.Go(func() { h.logStoreProgress(h.ctx) })
 	return h, h.startGateway()
 }
 
 // poke has the sets brought in step with the registry.
-func (h *Host) poke() {
+func (h *Host) wakeReconcile() {
 	select {
-	case h.wake <- struct{}{}:
+	case h.reconcileWake <- struct{}{}:
 	default:
 	}
 }
 
 func (h *Host) newGateway() error {
 	g, err := edge.New(edge.Config{
-		Address: h.settings.CallerAddress, MaxSessions: h.settings.MaxSessions, Workers: h.settings.Workers, Log: h.log, Budget: h.budget,
+		Address: h.settings.CallerAddress, MaxSessions: h.settings.MaxSessions, Workers: h.settings.Workers, Log: h.log, LogBudget: h.budget,
 	}, h.adapter.Callers, h, h)
 	if err != nil {
 		return err
@@ -176,25 +176,25 @@
 func (h *Host) startGateway() error {
 	go func() { h.failed <- h.gateway.Run() }()
 	select {
-	case <-h.gateway.Booted():
+	case <-h.gateway.Listening():
 	case err := <-h.failed:
 		return err
 	}
-	eventlog.Started.Info(h.log).Str("listen", h.settings.CallerAddress).Str("zone", h.settings.Places.Zone).Strs("without", h.settings.Without.Names()).Send()
+	eventlog.Started.Info(h.log).Str("listen", h.settings.CallerAddress).Str("zone", h.settings.Places.Zone).Strs("without", h.settings.Disabled.Names()).Send()
 	return nil
 }
 
 // headerTimeout bounds how long the platform may take for its headers.
-const headerTimeout = 5 * time.Second
+const readHeaderTimeout = 5 * time.Second
 
 func (h *Host) listen() error {
 	mux := http.NewServeMux()
-	mux.HandleFunc("GET "+h.adapter.ReadyPath, func(w http.ResponseWriter, _ *http.Request) {
+	mux.HandleFunc("GET "+h.adapter.ReadinessPath, func(w http.ResponseWriter, _ *http.Request) {
 		if !h.Ready() {
 			w.WriteHeader(http.StatusServiceUnavailable)
 		}
 	})
-	if err := h.serve(h.settings.ReadyAddress, mux); err != nil {
+	if err := h.serve(h.settings.ReadinessAddress, mux); err != nil {
 		return err
 	}
 	if h.settings.MetricsAddress == "" {
@@ -207,7 +207,7 @@
 }
 
 func (h *Host) serve(address string, handler http.Handler) error {
-	return h.serveWith(address, &http.Server{Handler: handler, ReadHeaderTimeout: headerTimeout})
+	return h.serveWith(address, &http.Server{Handler: handler, ReadHeaderTimeout: readHeaderTimeout})
 }
 
 func (h *Host) serveWith(address string, s *http.Server) error {
@@ -229,10 +229,10 @@
 // Ready reports whether the host takes callers: it has a configuration, knows
 // members, and is not about to stop.
 func (h *Host) Ready() bool {
-	return !h.stopping.Load() && h.registry.Catalog() != nil && h.knowsMembers()
+	return !h.stopping.Load() && h.registry.Catalog() != nil && h.hasMembers()
 }
 
-func (h *Host) knowsMembers() bool {
+func (h *Host) hasMembers() bool {
 	h.mu.RLock()
 	defer h.mu.RUnlock()
 	for _, s := range h.sets {
@@ -259,7 +259,7 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-h.wake:
+		case <-h.reconcileWake:
 			h.updateSets(ctx)
 		}
 	}
@@ -271,7 +271,7 @@
 		return
 	}
 	hosts := h.registry.Fleet()
-	if !h.knowsFleet(hosts) {
+	if !h.fleetStable(hosts) {
 		return
 	}
 	h.setFleet(h.fleet.Next(hosts))
@@ -289,12 +289,12 @@
 	var p *promoter.Promoter
 	s := replicaset.New(replicaset.Config{
 		Service: service, Dial: h.dial, Proto: h.adapter.Members, Places: h.settings.Places,
-		DrainBound: h.settings.DrainBound, AskPeers: h.askPeers, Suspected: func() { p.Wake() },
-		Remote: h.remote(), Owner: h.owner, Host: h.settings.Host, Without: h.settings.Without, Log: h.log,
+		DrainBound: h.settings.DrainBound, AskPeers: h.queryPeersForFloor, Suspected: func() { p.Wake() },
+		Remote: h.remote(), Owner: h.owner, Host: h.settings.Host, Without: h.settings.Disabled, Log: h.log,
 	})
 	p = promoter.New(promoter.Config{
 		Service: service, Host: h.settings.Host, Set: s, Registry: h.registry, Caller: h.adapter.Promotion, Peers: h,
-		Without: h.settings.Without,
+		Without: h.settings.Disabled,
 		Spec:    func() catalog.Service { return h.registry.Catalog().Services[service] },
 		Observe: func(r promoter.Result) { h.metrics.promotion(service, r) }, Log: h.log,
 	})
@@ -315,23 +315,23 @@
 
 // unusedSlack is how much longer than its caller may rest a transaction is
 // kept for another host, which ends it itself if it lives.
-const unusedSlack = 2 * time.Second
+const remoteTxSlack = 2 * time.Second
 
 // idleCheck is how often transactions that rest for too long are looked for.
-const idleCheck = 500 * time.Millisecond
+const idleCheckInterval = 500 * time.Millisecond
 
 // endIdleTransactions ends the transactions that rest longer than the
 // configuration allows.
-func (h *Host) endIdleTransactions(ctx context.Context) {
-	clock.Every(ctx, idleCheck, func() {
+func (h *Host) abortIdleTransactions(ctx context.Context) {
+	clock.Every(ctx, idleCheckInterval, func() {
 		c := h.registry.Catalog()
 		if c == nil || c.TxIdleTimeout <= 0 {
 			return
 		}
 		now := clock.Now()
-		h.gateway.EndIdle(now - c.TxIdleTimeout)
+		h.gateway.AbortIdleTransactions(now - c.TxIdleTimeout)
 		for _, s := range h.allSets() {
-			s.EndUnused(now - c.TxIdleTimeout - unusedSlack)
+			s.EndUnused(now - c.TxIdleTimeout - remoteTxSlack)
 		}
 	})
 }
@@ -344,4 +344,4 @@
 
 // Known returns how many hosts this one knows to be registered, itself
 // included.
-func (h *Host) Known() int { return len(h.registry.Hosts()) }
+func (h *Host) KnownHosts() int { return len(h.registry.Hosts()) }
--- a/node/entry/failures_test.go
+++ b/node/entry/failures_test.go
@@ -38,14 +38,14 @@
 				require.Zero(t, d.group.Committed(res.id), "%s is a promise", res.code)
 			}
 			return res.code == ""
-		}, eventually, poll)
+		}, waitLimit, pollInterval)
 	}
 	require.NotEqual(t, old.ID, d.group.Primary().ID)
 }
 
-// TestMinorityThatLosesThePrimaryDoesNotReplaceIt: one host of three cannot
+// TestMinoritySuspicionDoesNotPromote: one host of three cannot
 // reach the primary; the others' acknowledged writes must survive.
-func TestMinorityThatLosesThePrimaryDoesNotReplaceIt(t *testing.T) {
+func TestMinoritySuspicionDoesNotPromote(t *testing.T) {
 	d := deploy(t, 3, options())
 	primary := d.group.Primary()
 	key := "dotterelswitch/suspects/svc/" + primary.ID + "/host-1"
@@ -54,8 +54,8 @@
 	require.Equal(t, primary.ID, d.group.Primary().ID)
 }
 
-// TestPlannedLeaveLosesNothing: writes run while the primary leaves.
-func TestPlannedLeaveLosesNothing(t *testing.T) {
+// TestPrimaryDrainKeepsAcknowledgedWrites: writes run while the primary leaves.
+func TestPrimaryDrainKeepsAcknowledgedWrites(t *testing.T) {
 	d := deploy(t, 2, options())
 	old := d.group.Primary()
 	stop := make(chan struct{})
@@ -69,7 +69,7 @@
 	require.Eventually(t, func() bool {
 		p := d.group.Primary()
 		return p != nil && p.ID != old.ID
-	}, eventually, poll)
+	}, waitLimit, pollInterval)
 	time.Sleep(200 * time.Millisecond)
 	close(stop)
 	reader := d.connect(0, "strict")
@@ -100,18 +100,18 @@
 	}
 }
 
-// TestHostWithoutAConnectionToThePrimaryReadsByAPeersFloor replays the return
+// TestBoundedReadUsesFloorFromPeer replays the return
 // of all hosts after a power loss: the dead connections still fill the
 // primary, one host got what was left, and reads must not wait for it.
-func TestHostWithoutAConnectionToThePrimaryReadsByAPeersFloor(t *testing.T) {
+func TestBoundedReadUsesFloorFromPeer(t *testing.T) {
 	o := options()
 	o.MaxConnections = 4
 	d := deploy(t, 1, o)
-	lucky := d.connect(0, "own")
-	lucky.must("STORE item x")
-	fillConnections(t, d.group.Primary(), o.MaxConnections)
+	connected := d.connect(0, "own")
+	connected.must("STORE item x")
+	occupyConnections(t, d.group.Primary(), o.MaxConnections)
 	d.addHost()
-	keepFloorFresh(t, lucky)
+	keepFloorFresh(t, connected)
 	require.Equal(t, []string{"x"}, d.connect(1, "bounded").must("FETCH item").rows)
 }
 
@@ -134,8 +134,8 @@
 	t.Cleanup(func() { close(stop); <-ended })
 }
 
-// fillConnections takes the connections of a member that are left.
-func fillConnections(t *testing.T, m *lineplatform.Member, limit int) {
+// occupyConnections takes the connections of a member that are left.
+func occupyConnections(t *testing.T, m *lineplatform.Member, limit int) {
 	t.Helper()
 	for range limit {
 		nc, err := net.Dial("tcp", m.Address())
@@ -148,22 +148,22 @@
 	}
 }
 
-// TestDeafWatchLearnsOfAChange: a store that drops its history leaves waiting
+// TestCompactedWatchLearnsOfConfigChange: a store that drops its history leaves waiting
 // watches without news.
-func TestDeafWatchLearnsOfAChange(t *testing.T) {
+func TestCompactedWatchLearnsOfConfigChange(t *testing.T) {
 	d := deploy(t, 1, options())
 	d.platform.Store.Deafen(true)
 	began := time.Now()
 	version := d.platform.Configure(routes(7*time.Second), timeout)
 	d.platform.Store.Compact()
 	d.platform.Store.Deafen(false)
-	require.Eventually(t, func() bool { return d.hosts[0].Catalog().Version == version }, eventually, poll)
+	require.Eventually(t, func() bool { return d.hosts[0].Catalog().Version == version }, waitLimit, pollInterval)
 	// The shortest bound of a deployment is 3 s; a watch that waits for all of
 	// its 30 s would be far beyond any slowness of the machine.
 	require.Less(t, time.Since(began), 15*time.Second)
 }
 
-func TestServesWhileTheStoreIsAway(t *testing.T) {
+func TestServesDuringStoreOutage(t *testing.T) {
 	for _, outage := range []lineplatform.Outage{lineplatform.Refusing, lineplatform.Silent} {
 		d := deploy(t, 1, options())
 		c := d.connect(0, "own")
@@ -176,13 +176,13 @@
 		}
 		d.platform.Store.Fail(lineplatform.Up)
 		version := d.platform.Configure(routes(7*time.Second), timeout)
-		require.Eventually(t, func() bool { return d.hosts[0].Catalog().Version == version }, eventually, poll)
+		require.Eventually(t, func() bool { return d.hosts[0].Catalog().Version == version }, waitLimit, pollInterval)
 	}
 }
 
-// TestLapsedEntriesAreNotTheEndOfMembers: entries lapse while the store is
+// TestExpiredMemberEntriesDoNotInterruptService: entries lapse while the store is
 // away, and are back soon after.
-func TestLapsedEntriesAreNotTheEndOfMembers(t *testing.T) {
+func TestExpiredMemberEntriesDoNotInterruptService(t *testing.T) {
 	d := deploy(t, 1, options())
 	c := d.connect(0, "own")
 	c.must("STORE item x")
@@ -200,14 +200,14 @@
 	c.must("STORE item z")
 }
 
-// TestStopCutsNothing: sessions that are idle are closed, and what runs is
+// TestStopAnswersRunningStatements: sessions that are idle are closed, and what runs is
 // answered.
-func TestStopCutsNothing(t *testing.T) {
+func TestStopAnswersRunningStatements(t *testing.T) {
 	d := deploy(t, 1, options())
 	idle, busy := d.connect(0, "own"), d.connect(0, "own")
 	stopped := make(chan bool, 1)
 	go func() { stopped <- d.hosts[0].Stop() }()
-	require.Eventually(t, func() bool { return !d.hosts[0].Ready() }, eventually, poll)
+	require.Eventually(t, func() bool { return !d.hosts[0].Ready() }, waitLimit, pollInterval)
 	answered := 0
 	for {
 		res, err := busy.try("STORE item x")
@@ -223,22 +223,22 @@
 	require.Error(t, idle.session.AwaitClose())
 }
 
-// TestHostCutFromTheStoreHearsOfChangesFromOthers: the store turns one host
+// TestHostCutOffFromStoreLearnsConfigFromPeers: the store turns one host
 // away for longer than any bound and serves the other.
-func TestHostCutFromTheStoreHearsOfChangesFromOthers(t *testing.T) {
+func TestHostCutOffFromStoreLearnsConfigFromPeers(t *testing.T) {
 	d := deploy(t, 1, options())
 	d.addHostsBehindProxies(1)
 	cut := d.hosts[1]
 	d.proxies[1].Close()
 	version := d.platform.Configure(routes(7*time.Second), timeout)
-	require.Eventually(t, func() bool { return cut.Catalog().Version == version }, eventually, poll)
+	require.Eventually(t, func() bool { return cut.Catalog().Version == version }, waitLimit, pollInterval)
 	d.connect(1, "own").must("STORE item x")
 }
 
-// TestLongOutageOfThePrimaryIsRefusedAtOnce: with the store away nothing can
+// TestWritesAreRefusedImmediatelyInLongPrimaryOutage: with the store away nothing can
 // replace a dead primary. Statements are held while a promotion could still
 // come, and refused at once after that.
-func TestLongOutageOfThePrimaryIsRefusedAtOnce(t *testing.T) {
+func TestWritesAreRefusedImmediatelyInLongPrimaryOutage(t *testing.T) {
 	d := deploy(t, 1, options())
 	c := d.connect(0, "strict")
 	c.must("STORE item x")
@@ -249,14 +249,14 @@
 		began := time.Now()
 		res = c.do("STORE item y")
 		return res.code == "BUSY" && time.Since(began) < time.Second
-	}, 2*eventually, poll)
+	}, 2*waitLimit, pollInterval)
 	require.Contains(t, res.detail, "retry after")
 	require.Zero(t, d.group.Committed(res.id))
 }
 
-// TestStoppingHostEndsWhatOthersBegan: a host that keeps connections stops
+// TestStoppingHostCompletesRemoteTransactions: a host that keeps connections stops
 // while transactions of other hosts are open on them.
-func TestStoppingHostEndsWhatOthersBegan(t *testing.T) {
+func TestStoppingHostCompletesRemoteTransactions(t *testing.T) {
 	for stopped := range 3 {
 		t.Run(fmt.Sprintf("host %d", stopped), func(t *testing.T) {
 			d := deploy(t, 3, options())
@@ -272,7 +272,7 @@
 			}
 			ended := make(chan bool, 1)
 			go func() { ended <- d.hosts[stopped].Stop() }()
-			require.Eventually(t, func() bool { return !d.hosts[stopped].Ready() }, eventually, poll)
+			require.Eventually(t, func() bool { return !d.hosts[stopped].Ready() }, waitLimit, pollInterval)
 			time.Sleep(time.Second)
 			for _, c := range clients {
 				w := c.must("STORE after x")
--- a/node/entry/detour_test.go
+++ b/node/entry/forwarding_test.go
@@ -12,35 +12,35 @@
 	"github.com/dotterelswitch/dotterelswitch/node/entry"
 )
 
-// cutDial refuses connections to one address.
-type cutDial struct{ address atomic.Pointer[string] }
+// refusingDialer refuses connections to one address.
+type refusingDialer struct{ address atomic.Pointer[string] }
 
-func (c *cutDial) dial(ctx context.Context, network, address string) (net.Conn, error) {
+func (c *refusingDialer) dial(ctx context.Context, network, address string) (net.Conn, error) {
 	if cut := c.address.Load(); cut != nil && *cut == address {
 		return nil, &net.OpError{Op: "dial", Net: network, Err: syscall.ECONNREFUSED}
 	}
 	return entry.Dial(ctx, network, address)
 }
 
-// TestHostThatDoesNotReachThePrimaryWritesThroughAnother: one host of three is cut
+// TestWritesAreForwardedWhenPrimaryIsUnreachable: one host of three is cut
 // off from the primary. That is too few to replace it, and its callers are served
 // all the same.
-func TestHostThatDoesNotReachThePrimaryWritesThroughAnother(t *testing.T) {
+func TestWritesAreForwardedWhenPrimaryIsUnreachable(t *testing.T) {
 	d := deploy(t, 2, options())
-	var cut cutDial
+	var cut refusingDialer
 	address := d.group.Primary().Advertised()
 	cut.address.Store(&address)
 	d.dial = cut.dial
 	d.addHost()
 	for _, h := range d.hosts {
-		require.Eventually(t, func() bool { return h.Known() == 3 }, eventually, poll)
+		require.Eventually(t, func() bool { return h.KnownHosts() == 3 }, waitLimit, pollInterval)
 	}
 	d.awaitLock()
 	primary := d.group.Primary()
 	for _, database := range []string{"strict", "own", "bounded"} {
 		c := d.connect(2, database)
 		if database != "bounded" {
-			c.eventuallyWrites("item")
+			c.awaitWrite("item")
 		}
 		for range 10 {
 			res := c.do("FETCH item")
--- a/node/entry/helpers_test.go
+++ b/node/entry/helpers_test.go
@@ -21,10 +21,10 @@
 )
 
 const (
-	// eventually bounds waits for something that must come; it is generous, so
+	// waitLimit bounds waits for something that must come; it is generous, so
 	// that a busy machine changes no verdict.
-	eventually = 20 * time.Second
-	poll       = 5 * time.Millisecond
+	waitLimit    = 20 * time.Second
+	pollInterval = 5 * time.Millisecond
 	// timeout is the routes' statement timeout in these tests.
 	timeout = 10 * time.Second
 )
@@ -42,9 +42,9 @@
 	// dial is what hosts that are started next connect with.
 	dial replicaset.DialFunc
 	// tolerance is how exactly hosts that are started next keep the teams' limits,
-	// and logTo where they write; nil for the test's log.
+	// and logWriter where they write; nil for the test's log.
 	tolerance quota.Tolerance
-	logTo     io.Writer
+	logWriter io.Writer
 }
 
 func options() lineplatform.Options {
@@ -71,7 +71,7 @@
 		d.addHost()
 	}
 	for _, h := range d.hosts {
-		require.Eventually(t, func() bool { return h.Known() == hosts }, eventually, poll)
+		require.Eventually(t, func() bool { return h.KnownHosts() == hosts }, waitLimit, pollInterval)
 	}
 	return d
 }
@@ -88,20 +88,20 @@
 	return &deployment{t: t, platform: p, group: g, dial: entry.Dial}
 }
 
-// aimAt has the statements of all routes aim at a latency target and end after a
+// setLatencyTarget has the statements of all routes aim at a latency target and end after a
 // timeout, and waits until that is in force.
-func (d *deployment) aimAt(target, statementTimeout time.Duration) {
+func (d *deployment) setLatencyTarget(target, statementTimeout time.Duration) {
 	d.t.Helper()
 	changed := routes(statementTimeout)
 	for i := range changed {
 		changed[i].Target = target
 	}
 	version := d.platform.Configure(changed, timeout)
-	require.Eventually(d.t, func() bool { return d.hosts[0].Catalog().Version == version }, eventually, poll)
+	require.Eventually(d.t, func() bool { return d.hosts[0].Catalog().Version == version }, waitLimit, pollInterval)
 }
 
 // free returns a loopback address that nothing else takes.
-func free(t *testing.T) string {
+func freeAddress(t *testing.T) string {
 	t.Helper()
 	address, err := loopback.FreeAddress()
 	require.NoError(t, err)
@@ -131,7 +131,7 @@
 func (d *deployment) addHostWithStore(store string) *entry.Host {
 	d.t.Helper()
 	h := d.startHost(store)
-	require.Eventually(d.t, h.Ready, eventually, poll)
+	require.Eventually(d.t, h.Ready, waitLimit, pollInterval)
 	return h
 }
 
@@ -141,12 +141,12 @@
 	name := fmt.Sprintf("host-%d", len(d.hosts)+1)
 	s := entry.Settings{
 		Host: name, Places: replicaset.Places{Zone: "a", Regions: map[string]string{"a": "r", "b": "r", "c": "r"}},
-		CallerAddress: free(d.t), ReadyAddress: free(d.t), PeerAddress: free(d.t), MetricsAddress: free(d.t),
-		MaxSessions: 1000, Workers: 256, Grace: 2 * time.Second, DrainBound: 7 * time.Second,
-		Quota: d.tolerance,
+		CallerAddress: freeAddress(d.t), ReadinessAddress: freeAddress(d.t), PeerAddress: freeAddress(d.t), MetricsAddress: freeAddress(d.t),
+		MaxSessions: 1000, Workers: 256, GracePeriod: 2 * time.Second, DrainBound: 7 * time.Second,
+		QuotaTolerance: d.tolerance,
 	}
 	a := onplatform.Adapter(onplatform.Options{Host: name, Store: store, Promotion: d.platform.Address(), Timeout: time.Second})
-	h, err := entry.Start(s, a, d.dial, zerolog.New(d.logs()))
+	h, err := entry.Start(s, a, d.dial, zerolog.New(d.logOutput()))
 	require.NoError(d.t, err)
 	d.t.Cleanup(h.Kill)
 	d.hosts = append(d.hosts, h)
@@ -156,9 +156,9 @@
 
 // logs writes the hosts' lines to the test's log, which is shown on failure, unless
 // the test wants them elsewhere.
-func (d *deployment) logs() io.Writer {
-	if d.logTo != nil {
-		return d.logTo
+func (d *deployment) logOutput() io.Writer {
+	if d.logWriter != nil {
+		return d.logWriter
 	}
 	return zerolog.NewTestWriter(d.t)
 }
@@ -183,7 +183,7 @@
 func (d *deployment) connectAs(host int, database, key string) *client {
 	d.t.Helper()
 	name := fmt.Sprintf("%s-%d", database, sessions.Add(1))
-	session, err := linecaller.OpenWithKey(d.settings[host].CallerAddress, database, key, name, eventually)
+	session, err := linecaller.OpenWithKey(d.settings[host].CallerAddress, database, key, name, waitLimit)
 	require.NoError(d.t, err)
 	d.t.Cleanup(session.Close)
 	return &client{t: d.t, session: session, name: name}
--- a/node/entry/resting_test.go
+++ b/node/entry/idle_transaction_test.go
@@ -9,10 +9,10 @@
 	"github.com/dotterelswitch/dotterelswitch/core/connpool"
 )
 
-// TestRestingTransactionsDoNotKeepAllConnections replays callers that begin a
+// TestIdleTransactionsYieldConnections replays callers that begin a
 // transaction, write, and rest for longer than others can wait: ten seconds
 // here, both the limit of a rest and the statements' timeout.
-func TestRestingTransactionsDoNotKeepAllConnections(t *testing.T) {
+func TestIdleTransactionsYieldConnections(t *testing.T) {
 	o := options()
 	o.MaxConnections = 4
 	d := deploy(t, 1, o)
--- a/node/entry/limits.go
+++ b/node/entry/limits.go
@@ -34,7 +34,7 @@
 
 // requestGrant asks a host that counts a team to grant operations.
 func (h *Host) requestGrant(ctx context.Context, address, team string, wanted int) (quota.Grant, bool) {
-	h.talk.add(talkQuota)
+	h.traffic.add(trafficQuota)
 	answer, err := h.peers.Probe(ctx, address, gossip.Message{QuotaRequest: &gossip.QuotaRequest{Team: team, Operations: wanted}})
 	if err != nil || answer.Grant == nil {
 		h.log.Debug().Err(err).Str("peer", address).Str("team", team).Msg("a request for a grant had no answer")
--- a/node/entry/remote_test.go
+++ b/node/entry/liveness_test.go
@@ -11,17 +11,17 @@
 	"github.com/dotterelswitch/dotterelswitch/node/gossip"
 )
 
-// TestStatementsThatWaitOnOneHostShareALook replays a gate that falls silent with
+// TestConcurrentLivenessChecksShareProbes replays a gate that falls silent with
 // many statements under way: they ask for one sign of life, not for one each.
-func TestStatementsThatWaitOnOneHostShareALook(t *testing.T) {
+func TestConcurrentLivenessChecksShareProbes(t *testing.T) {
 	own, err := net.ListenPacket("udp", "127.0.0.1:0")
 	require.NoError(t, err)
 	silent, err := net.ListenPacket("udp", "127.0.0.1:0")
 	require.NoError(t, err)
 	defer func() { _ = silent.Close() }()
-	datagrams := gossip.NewTransport(own, peerKey, func(m gossip.Message) gossip.Message { return m })
+	datagrams := gossip.NewTransport(own, datagramKey, func(m gossip.Message) gossip.Message { return m })
 	defer datagrams.Close()
-	r := remote{ctx: t.Context(), datagrams: datagrams, talk: newTalkCounts(), looks: &singleflight.Group{}}
+	r := remote{ctx: t.Context(), datagrams: datagrams, traffic: newTrafficCounts(), livenessProbes: &singleflight.Group{}}
 	const statements = 100
 	var waiting sync.WaitGroup
 	for range statements {
@@ -32,5 +32,5 @@
 		})
 	}
 	waiting.Wait()
-	require.Less(t, r.talk.take()[talkAlive], statements/2)
+	require.Less(t, r.traffic.take()[trafficLiveness], statements/2)
 }
--- a/node/entry/metrics.go
+++ b/node/entry/metrics.go
@@ -15,7 +15,7 @@
 
 const (
 	// maxTeams bounds the teams, or databases, that have labels of their own.
-	maxTeams = 50
+	maxTeamLabels = 50
 	// gaugeInterval is how often gauges are brought up to date.
 	gaugeInterval = 2 * time.Second
 )
@@ -23,7 +23,7 @@
 // hostMetrics turns what a host does into metrics.
 type hostMetrics struct{ metrics *metrics.Metrics }
 
-func newHostMetrics() *hostMetrics { return &hostMetrics{metrics: metrics.New(maxTeams)} }
+func newHostMetrics() *hostMetrics { return &hostMetrics{metrics: metrics.New(maxTeamLabels)} }
 
 func (m *hostMetrics) handler() http.Handler { return m.metrics.Handler() }
 
@@ -35,9 +35,9 @@
 	if label == "" {
 		label = r.Database
 	}
-	m.metrics.Request(label, r.Statement.Kind.String(), o.Answer.Code.String(), o.Waited, r.Took-o.Waited, r.Took)
+	m.metrics.Request(label, r.Statement.Kind.String(), o.Answer.Code.String(), o.Waited, r.Elapsed-o.Waited, r.Elapsed)
 	if r.Statement.Reads() && o.Member != "" {
-		m.metrics.Count("reads", metrics.Label{Name: "member", Value: readMember(o.Primary)})
+		m.metrics.Count("reads", metrics.Label{Name: "member", Value: readTarget(o.Primary)})
 	}
 	if o.Attempts > 1 {
 		m.metrics.Count("retries", metrics.Label{Name: "kind", Value: r.Statement.Kind.String()})
@@ -71,7 +71,7 @@
 	m.metrics.Add("connections_evicted", c.Evicted, of)
 }
 
-func readMember(primary bool) string {
+func readTarget(primary bool) string {
 	if primary {
 		return "primary"
 	}
--- a/node/entry/observe.go
+++ b/node/entry/observe.go
@@ -28,5 +28,5 @@
 		Stringer("code", o.Answer.Code).Str("detail", o.Answer.Detail).
 		Str("upstream", o.Member).Str("gate", o.Gate).Bool("primary", o.Primary).Int("attempts", o.Attempts).
 		Stringer("floor", o.Floor).Stringer("position", o.Answer.Position).
-		Dur("held_ms", o.Held).Dur("waited_ms", o.Waited).Dur("took_ms", r.Took).Str("cause", o.Cause).Int("left_out", leftOut).Send()
+		Dur("held_ms", o.Held).Dur("waited_ms", o.Waited).Dur("took_ms", r.Elapsed).Str("cause", o.Cause).Int("left_out", leftOut).Send()
 }
--- a/node/entry/outage_test.go
+++ b/node/entry/outage_test.go
@@ -9,8 +9,8 @@
 	"github.com/dotterelswitch/dotterelswitch/standin/lineplatform"
 )
 
-// writesComeBack waits until each host acknowledges a write.
-func (d *deployment) writesComeBack() {
+// awaitWrites waits until each host acknowledges a write.
+func (d *deployment) awaitWrites() {
 	d.t.Helper()
 	for host := range d.hosts {
 		c := d.connect(host, "own")
@@ -18,7 +18,7 @@
 			res, err := c.try("STORE item x")
 			require.NoError(d.t, err)
 			return res.code == ""
-		}, eventually, poll)
+		}, waitLimit, pollInterval)
 	}
 }
 
@@ -27,45 +27,45 @@
 	d.t.Helper()
 	require.Eventually(d.t, func() bool {
 		return len(d.platform.Store.Keys("dotterelswitch/locks/")) == 1
-	}, eventually, poll)
+	}, waitLimit, pollInterval)
 	// The holder has to hear of its own lock.
 	time.Sleep(200 * time.Millisecond)
 }
 
-// TestPrimaryIsReplacedWhileTheStoreIsAway: a crash of the primary and an
+// TestFailoverDuringStoreOutage: a crash of the primary and an
 // outage of the store together must not stop writes for as long as the outage
 // takes.
-func TestPrimaryIsReplacedWhileTheStoreIsAway(t *testing.T) {
+func TestFailoverDuringStoreOutage(t *testing.T) {
 	for _, outage := range []lineplatform.Outage{lineplatform.Refusing, lineplatform.Silent} {
 		d := deploy(t, 3, options())
-		d.writesComeBack()
+		d.awaitWrites()
 		d.awaitLock()
 		d.platform.Store.Fail(outage)
 		old := d.group.Primary()
 		old.Crash()
-		d.writesComeBack()
+		d.awaitWrites()
 		require.NotEqual(t, old.ID, d.group.Primary().ID)
 	}
 }
 
-// TestLostAnswerToTheLockDoesNotStopPromotions: the lock is taken, but the host
+// TestLostLockAnswerDoesNotBlockFailover: the lock is taken, but the host
 // that took it was not told.
-func TestLostAnswerToTheLockDoesNotStopPromotions(t *testing.T) {
+func TestLostLockAnswerDoesNotBlockFailover(t *testing.T) {
 	d := deploy(t, 3, options())
-	d.writesComeBack()
+	d.awaitWrites()
 	d.platform.Store.Fail(lineplatform.LosingAnswers)
 	d.group.Primary().Crash()
 	require.Eventually(t, func() bool {
 		return len(d.platform.Store.Keys("dotterelswitch/locks/")) == 1
-	}, eventually, poll)
+	}, waitLimit, pollInterval)
 	time.Sleep(time.Second)
 	d.platform.Store.Fail(lineplatform.Up)
-	d.writesComeBack()
+	d.awaitWrites()
 }
 
-// TestCallersWaitForTheConfigurationOfAStartingHost: the store comes back soon
+// TestLoginWaitsForConfigurationAtStartup: the store comes back soon
 // after a host has started, and a caller that was there before is served.
-func TestCallersWaitForTheConfigurationOfAStartingHost(t *testing.T) {
+func TestLoginWaitsForConfigurationAtStartup(t *testing.T) {
 	d := deploy(t, 1, options())
 	d.platform.Store.Fail(lineplatform.Refusing)
 	h := d.startHost(d.platform.Address())
--- a/node/entry/peers.go
+++ b/node/entry/peers.go
@@ -21,13 +21,13 @@
 const (
 	// peerKey tells the deployment's datagrams from others. The platform gives
 	// hosts no secret of their own; its network keeps others out.
-	peerKey = "dotterelswitch"
+	datagramKey = "dotterelswitch"
 	// askAtOnce is how many hosts are asked for a floor: the primary's gates, which
 	// know, and where they are few, unknown or lost some other hosts, one of which
 	// may have had an answer of the primary lately.
-	askAtOnce = 4
+	floorQueryFanOut = 4
 	// askTimeout bounds the wait for their answers.
-	askTimeout = 300 * time.Millisecond
+	peerQueryTimeout = 300 * time.Millisecond
 )
 
 func (h *Host) listenPeers() error {
@@ -35,7 +35,7 @@
 	if err != nil {
 		return err
 	}
-	h.peers = gossip.NewTransport(conn, peerKey, h.answerPeer)
+	h.peers = gossip.NewTransport(conn, datagramKey, h.handlePeerMessage)
 	mux := http.NewServeMux()
 	mux.Handle(peer.NewGateServer(h))
 	protocols := new(http.Protocols)
@@ -45,14 +45,14 @@
 
 // RunJob implements peer.GateHandler.
 func (h *Host) RunJob(ctx context.Context, service string, j replicaset.Job) replicaset.Result {
-	h.jobs.Add(1)
-	defer h.jobs.Add(-1)
+	h.remoteJobs.Add(1)
+	defer h.remoteJobs.Add(-1)
 	s := h.AwaitSet(ctx, service, j.Work.StartBy)
 	if s == nil {
 		return replicaset.Result{Err: &replicaset.RefusedError{Reason: "the service is not known here"}}
 	}
 	res := s.Execute(ctx, j)
-	if h.settings.Without.Enabled(mechanism.RefusalFloors) {
+	if h.settings.Disabled.Enabled(mechanism.RefusalFloors) {
 		res.Floor, _ = s.Floor()
 	}
 	if res.Err == nil {
@@ -95,7 +95,7 @@
 }
 
 // answerPeer tells another host the floors that it asks for.
-func (h *Host) answerPeer(m gossip.Message) gossip.Message {
+func (h *Host) handlePeerMessage(m gossip.Message) gossip.Message {
 	now := clock.Now()
 	var out gossip.Message
 	if q := m.AskLost; q != nil {
@@ -123,39 +123,39 @@
 }
 
 // askPeers asks some other hosts for the floor of a service. It does not wait.
-func (h *Host) askPeers(service string) {
-	if !h.settings.Without.Enabled(mechanism.PeerFloors) {
+func (h *Host) queryPeersForFloor(service string) {
+	if !h.settings.Disabled.Enabled(mechanism.PeerFloors) {
 		return
 	}
-	for _, address := range h.floorSources(service) {
-		go h.askPeer(address, service)
+	for _, address := range h.floorPeers(service) {
+		go h.queryPeerForFloor(address, service)
 	}
 }
 
 // floorSources returns the hosts to ask for a floor: the primary's gates first,
 // then any others.
-func (h *Host) floorSources(service string) []string {
+func (h *Host) floorPeers(service string) []string {
 	var sources []string
 	if s := h.Set(service); s != nil {
 		sources = slices.Clone(s.KnowingHosts())
 	}
 	fleet := h.registry.Fleet()
 	for _, i := range rand.Perm(len(fleet)) {
-		if len(sources) >= askAtOnce {
+		if len(sources) >= floorQueryFanOut {
 			break
 		}
 		if other := fleet[i]; other.Name != h.settings.Host && !slices.Contains(sources, other.Address) {
 			sources = append(sources, other.Address)
 		}
 	}
-	return sources[:min(len(sources), askAtOnce)]
+	return sources[:min(len(sources), floorQueryFanOut)]
 }
 
-func (h *Host) askPeer(address, service string) {
-	ctx, cancel := context.WithTimeout(h.ctx, askTimeout)
+func (h *Host) queryPeerForFloor(address, service string) {
+	ctx, cancel := context.WithTimeout(h.ctx, peerQueryTimeout)
 	defer cancel()
 	asked := clock.Now()
-	h.talk.add(talkFloor)
+	h.traffic.add(trafficFloor)
 	answer, err := h.peers.Probe(ctx, address, gossip.Message{AskFloors: []string{service}})
 	if err != nil {
 		// Datagrams get lost; the next question goes to other hosts.
--- a/node/entry/probes_test.go
+++ b/node/entry/probes_test.go
@@ -7,11 +7,11 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestLeaderlessGroupIsNotProbedByTheWholeFleet replays the loss of a primary
+// TestOnlyGateHostsProbeGroupWithoutPrimary replays the loss of a primary
 // that nobody replaces yet, on a fleet that is large for its members: the
 // members that are left have connections for a few hosts only, and each
 // connection takes one of their slots. Only the hosts that keep them may probe.
-func TestLeaderlessGroupIsNotProbedByTheWholeFleet(t *testing.T) {
+func TestOnlyGateHostsProbeGroupWithoutPrimary(t *testing.T) {
 	d := deploy(t, 14, options())
 	for host := range d.hosts {
 		d.connect(host, "strict").must("STORE item x")
--- a/node/entry/opinions.go
+++ b/node/entry/promotion_peers.go
@@ -27,7 +27,7 @@
 	if !known {
 		return succession.Opinion{}, false
 	}
-	h.talk.add(talkOpinion)
+	h.traffic.add(trafficOpinion)
 	answer, err := h.peers.Probe(ctx, address, gossip.Message{AskLost: &gossip.LostQuestion{Service: service, Upstream: primary}})
 	if err != nil || answer.Opinion == nil {
 		// A host that does not answer has no voice; it is asked again.
@@ -46,9 +46,9 @@
 			continue
 		}
 		go func() {
-			ctx, cancel := context.WithTimeout(h.ctx, askTimeout)
+			ctx, cancel := context.WithTimeout(h.ctx, peerQueryTimeout)
 			defer cancel()
-			h.talk.add(talkAnnouncement)
+			h.traffic.add(trafficAnnouncement)
 			if _, err := h.peers.Probe(ctx, other.Address, gossip.Message{Lead: lead}); err != nil {
 				// The store, or the next floor, tells a host that this does not reach.
 				h.log.Debug().Err(err).Str("peer", other.Name).Msg("a promotion was not announced")
@@ -58,7 +58,7 @@
 }
 
 // leads reports whether this host leads a promotion of a service.
-func (h *Host) leads(service string) bool {
+func (h *Host) leadsPromotion(service string) bool {
 	p := h.promoter(service)
 	return p != nil && p.Leading()
 }
--- a/node/entry/reads.go
+++ b/node/entry/reads.go
@@ -17,7 +17,7 @@
 // each kind of route. A line for each service as well made a quarter of all lines
 // of a fleet of 300 hosts and 20 services, 26 a host in five seconds in place of 3,
 // and would grow with the services.
-const readsInterval = 5 * time.Second
+const readsLogInterval = 5 * time.Second
 
 // readCounts counts where reads were served. It is safe for concurrent use; its
 // lock is a leaf.
@@ -54,7 +54,7 @@
 
 // logReads logs where reads were served, until the context ends.
 func (h *Host) logReads(ctx context.Context) {
-	clock.Every(ctx, readsInterval, func() {
+	clock.Every(ctx, readsLogInterval, func() {
 		for consistency, sources := range h.reads.take() {
 			line := eventlog.ReadsCounted.Info(h.log).Stringer("consistency", consistency)
 			for _, s := range replicaset.ReadSources() {
--- a/node/entry/reads_test.go
+++ b/node/entry/reads_test.go
@@ -12,9 +12,9 @@
 	"github.com/dotterelswitch/dotterelswitch/node/replicaset"
 )
 
-// TestReadCountsDoNotGrowWithServices: what a host logs of its reads is a line for
+// TestReadCountsAreAggregatedOverServices: what a host logs of its reads is a line for
 // each kind of route, however many services its callers use.
-func TestReadCountsDoNotGrowWithServices(t *testing.T) {
+func TestReadCountsAreAggregatedOverServices(t *testing.T) {
 	var counts readCounts
 	served := replicaset.Outcome{Source: replicaset.ByReplica, Answer: statement.Answer{Code: statement.OK}}
 	for i := range 20 {
--- a/node/entry/relay_test.go
+++ b/node/entry/relay_test.go
@@ -24,21 +24,21 @@
 		before := d.platform.Store.Watches()
 		time.Sleep(4 * time.Second)
 		return d.platform.Store.Watches()-before <= 6
-	}, 3*eventually, poll, "one host watches, every 1.5 s; each on its own they would watch 50 times")
+	}, 3*waitLimit, pollInterval, "one host watches, every 1.5 s; each on its own they would watch 50 times")
 	return d
 }
 
-// knowsChange reports whether hosts come to run on a new configuration.
-func (d *deployment) knowsChange(hosts []*entry.Host) {
+// requireConfigChange reports whether hosts come to run on a new configuration.
+func (d *deployment) requireConfigChange(hosts []*entry.Host) {
 	d.t.Helper()
 	version := d.platform.Configure(routes(timeout), timeout)
 	for _, h := range hosts {
-		require.Eventually(d.t, func() bool { return h.Catalog().Version == version }, eventually, poll)
+		require.Eventually(d.t, func() bool { return h.Catalog().Version == version }, waitLimit, pollInterval)
 	}
 }
 
-// relayOf returns the number of the host that the others follow.
-func (d *deployment) relayOf() int {
+// relayIndex returns the number of the host that the others follow.
+func (d *deployment) relayIndex() int {
 	for n, h := range d.hosts {
 		if h.Followers() > 0 {
 			return n
@@ -49,25 +49,25 @@
 }
 
 // others returns all hosts but one.
-func (d *deployment) others(but int) []*entry.Host {
+func (d *deployment) hostsExcept(but int) []*entry.Host {
 	return append(slices.Clone(d.hosts[:but]), d.hosts[but+1:]...)
 }
 
-// TestLargeFleetFollowsItsRelay: changes reach every host through the one that
+// TestFleetReceivesConfigThroughRelay: changes reach every host through the one that
 // watches, and still do when that one is lost.
-func TestLargeFleetFollowsItsRelay(t *testing.T) {
+func TestFleetReceivesConfigThroughRelay(t *testing.T) {
 	d := deployLarge(t)
-	d.knowsChange(d.hosts)
-	lost := d.relayOf()
+	d.requireConfigChange(d.hosts)
+	lost := d.relayIndex()
 	d.hosts[lost].Kill()
-	d.knowsChange(d.others(lost))
+	d.requireConfigChange(d.hostsExcept(lost))
 }
 
-// TestRelayThatIsCutOffFromTheStoreIsLeft: its followers reach the store, and
+// TestFollowersLeaveRelayCutOffFromStore: its followers reach the store, and
 // must not wait for what it does not hear.
-func TestRelayThatIsCutOffFromTheStoreIsLeft(t *testing.T) {
+func TestFollowersLeaveRelayCutOffFromStore(t *testing.T) {
 	d := deployLarge(t)
-	relay := d.relayOf()
+	relay := d.relayIndex()
 	d.proxies[relay].Set(faultproxy.Fault{HoldToTarget: true, HoldToClient: true})
-	d.knowsChange(d.others(relay))
+	d.requireConfigChange(d.hostsExcept(relay))
 }
--- a/node/entry/restart_test.go
+++ b/node/entry/restart_test.go
@@ -10,15 +10,15 @@
 	"github.com/dotterelswitch/dotterelswitch/standin/lineplatform"
 )
 
-// eventuallyWrites waits until a write succeeds and returns how long that took.
-func (c *client) eventuallyWrites(item string) time.Duration {
+// awaitWrite waits until a write succeeds and returns how long that took.
+func (c *client) awaitWrite(item string) time.Duration {
 	c.t.Helper()
 	began := time.Now()
 	require.Eventually(c.t, func() bool {
 		res, err := c.try("STORE " + item + " x")
 		require.NoError(c.t, err)
 		return res.code == ""
-	}, eventually, poll)
+	}, waitLimit, pollInterval)
 	return time.Since(began)
 }
 
@@ -27,13 +27,13 @@
 	d.t.Helper()
 	end := d.group.Primary().Position()
 	for _, m := range d.group.Members() {
-		require.Eventually(d.t, func() bool { return m.Position() == end }, eventually, poll)
+		require.Eventually(d.t, func() bool { return m.Position() == end }, waitLimit, pollInterval)
 	}
 }
 
-// TestPrimaryThatStartsAgainEmptyIsReplaced: it takes itself for the primary of
+// TestPrimaryRestartedEmptyIsReplaced: it takes itself for the primary of
 // its term, but the log is gone. What was acknowledged lives on in the replicas.
-func TestPrimaryThatStartsAgainEmptyIsReplaced(t *testing.T) {
+func TestPrimaryRestartedEmptyIsReplaced(t *testing.T) {
 	d := deploy(t, 3, options())
 	c := d.connect(0, "strict")
 	for n := range 20 {
@@ -51,14 +51,14 @@
 			require.Equal(t, []string{"x"}, res.rows, "an acknowledged write is gone")
 		}
 		return res.code == ""
-	}, eventually, poll)
-	d.connect(2, "own").eventuallyWrites("after")
+	}, waitLimit, pollInterval)
+	d.connect(2, "own").awaitWrite("after")
 	require.NotEqual(t, old.ID, d.group.Primary().ID)
 }
 
-// TestReplicaThatStartsAgainEmptyServesNoOldRead: it holds nothing at first, and
+// TestReplicaRestartedEmptyServesNoStaleRead: it holds nothing at first, and
 // its prepared names and session values are gone.
-func TestReplicaThatStartsAgainEmptyServesNoOldRead(t *testing.T) {
+func TestReplicaRestartedEmptyServesNoStaleRead(t *testing.T) {
 	o := options()
 	o.Lag = 300 * time.Millisecond
 	d := deploy(t, 2, o)
@@ -69,14 +69,14 @@
 		c.must("STORE item " + fmt.Sprint(n))
 		require.Equal(t, []string{fmt.Sprint(n)}, c.must("EXECUTE get item").rows)
 		if n%20 == 10 {
-			m := replicaOf(d.group, n)
+			m := nthReplica(d.group, n)
 			m.Crash()
 			require.NoError(t, m.RestartEmpty(false))
 		}
 	}
 }
 
-func replicaOf(g *lineplatform.Group, n int) *lineplatform.Member {
+func nthReplica(g *lineplatform.Group, n int) *lineplatform.Member {
 	var replicas []*lineplatform.Member
 	for _, m := range g.Members() {
 		if m != g.Primary() {
@@ -86,10 +86,10 @@
 	return replicas[n%len(replicas)]
 }
 
-// TestEntryOfAMemberThatIsNotThereTakesNoLead: a heartbeat that the store carries
+// TestStaleMemberEntryDoesNotReplacePrimary: a heartbeat that the store carries
 // out late names a primary that does not exist any more, at the address of the
 // one that does.
-func TestEntryOfAMemberThatIsNotThereTakesNoLead(t *testing.T) {
+func TestStaleMemberEntryDoesNotReplacePrimary(t *testing.T) {
 	d := deploy(t, 2, options())
 	c := d.connect(0, "strict")
 	c.must("STORE item x")
@@ -98,19 +98,19 @@
 		`{"service":"svc","address":%q,"zone":"a","version":"v1","capacity":2,"state":"ready","cold_left_ms":0,"db_role":"primary","sequence":11}`,
 		primary.Advertised())))
 	for range 30 {
-		c.eventuallyWrites("item")
+		c.awaitWrite("item")
 		time.Sleep(20 * time.Millisecond)
 	}
-	require.Less(t, c.eventuallyWrites("item"), time.Second)
+	require.Less(t, c.awaitWrite("item"), time.Second)
 	require.Equal(t, primary.ID, d.group.Primary().ID, "the primary lives and is not replaced")
 }
 
-// TestEntriesOfAnotherWriterDisturbNobody: odd values among the members' entries,
+// TestMalformedMemberEntriesAreIgnored: odd values among the members' entries,
 // and in place of one, while callers write and read.
-func TestEntriesOfAnotherWriterDisturbNobody(t *testing.T) {
+func TestMalformedMemberEntriesAreIgnored(t *testing.T) {
 	d := deploy(t, 2, options())
 	c := d.connect(0, "own")
-	replica := replicaOf(d.group, 0)
+	replica := nthReplica(d.group, 0)
 	for n, odd := range []string{"", "null", "[1]", `{"service":7}`, `{"service":"svc","state":"odd"}`, "\xff\xfe"} {
 		d.platform.Store.Put(fmt.Sprintf("servers/odd-%d", n), []byte(odd))
 		d.platform.Store.Put("servers/"+replica.ID, []byte(odd))
--- a/node/entry/restored_store_test.go
+++ b/node/entry/restored_store_test.go
@@ -16,20 +16,20 @@
 	rewriteAfter = 1500 * time.Millisecond
 )
 
-// TestKeyThatWasTakenAwayDoesNotComeBackWithACopy: on hosts that know better, and on
+// TestRevokedKeyStaysRevokedAfterStoreRestore: on hosts that know better, and on
 // one that starts while the store has the older configuration.
-func TestKeyThatWasTakenAwayDoesNotComeBackWithACopy(t *testing.T) {
+func TestRevokedKeyStaysRevokedAfterStoreRestore(t *testing.T) {
 	d := deploy(t, 2, options())
 	d.setTeams(schools, clubs)
 	older := d.platform.Store.Copy()
 	d.setTeams(clubs)
 	d.platform.Store.Restore(older)
 	d.startHost(d.platform.Address())
-	require.Eventually(t, func() bool { return d.hosts[2].Catalog() != nil }, eventually, poll)
+	require.Eventually(t, func() bool { return d.hosts[2].Catalog() != nil }, waitLimit, pollInterval)
 	until := time.Now().Add(rewriteAfter)
 	for time.Now().Before(until) {
 		for host := range d.hosts {
-			_, err := linecaller.OpenWithKey(d.settings[host].CallerAddress, "own", "key-schools-1", "revoked", eventually)
+			_, err := linecaller.OpenWithKey(d.settings[host].CallerAddress, "own", "key-schools-1", "revoked", waitLimit)
 			var refused *linecaller.RefusedError
 			require.ErrorAs(t, err, &refused)
 			require.Equal(t, "UNAUTH", refused.Code())
@@ -38,12 +38,12 @@
 	d.connectAs(2, "own", "key-clubs").must("FETCH a")
 }
 
-// TestPrimaryIsReplacedAfterARestore: the copy has no lock, or one that another host
+// TestFailoverDuringStoreRestore: the copy has no lock, or one that another host
 // held; no two hosts may order a promotion with one token.
-func TestPrimaryIsReplacedAfterARestore(t *testing.T) {
+func TestFailoverDuringStoreRestore(t *testing.T) {
 	d := deploy(t, 3, options())
 	older := d.platform.Store.Copy()
-	d.writesComeBack()
+	d.awaitWrites()
 	d.awaitLock()
 	for range 2 {
 		restored := make(chan struct{})
@@ -54,7 +54,7 @@
 		time.Sleep(2 * storeAway)
 		old := d.group.Primary()
 		old.Crash()
-		d.callersFindANewPrimary(old, 0, 1, 2)
+		d.requireFailover(old, 0, 1, 2)
 		<-restored
 		require.NoError(t, old.Restart())
 		older = d.platform.Store.Copy()
@@ -62,10 +62,10 @@
 	require.Zero(t, d.platform.SharedTokens())
 }
 
-// TestServiceGoesOnWhileTheStoreReturnsFromACopy: no caller is refused for it.
-func TestServiceGoesOnWhileTheStoreReturnsFromACopy(t *testing.T) {
+// TestServesDuringStoreRestore: no caller is refused for it.
+func TestServesDuringStoreRestore(t *testing.T) {
 	d := deploy(t, 3, options())
-	d.writesComeBack()
+	d.awaitWrites()
 	older := d.platform.Store.Copy()
 	time.Sleep(time.Second)
 	restored := make(chan struct{})
--- a/node/entry/show.go
+++ b/node/entry/show.go
@@ -17,7 +17,7 @@
 	teams, more := h.showTeams(now)
 	return &inspectpb.ShowResponse{
 		Host: h.settings.Host, Zone: h.settings.Places.Zone, Ready: h.Ready(),
-		Sessions: uint32(h.gateway.Sessions()), MaxSessions: uint32(h.settings.MaxSessions), Jobs: uint32(h.jobs.Load()),
+		Sessions: uint32(h.gateway.Sessions()), MaxSessions: uint32(h.settings.MaxSessions), Jobs: uint32(h.remoteJobs.Load()),
 		Configuration: h.showConfiguration(), Store: h.showStore(), Services: h.showServices(now),
 		Teams: teams, MoreTeams: uint32(more),
 	}
@@ -54,7 +54,7 @@
 	lock := h.registry.LockOf(s.Service())
 	out := &inspectpb.Service{
 		Name: s.Service(), Primary: primary, Term: uint64(s.Term()),
-		Lock: &inspectpb.Lock{Holder: lock.Holder, Acting: h.leads(s.Service()), Token: lock.Token()},
+		Lock: &inspectpb.Lock{Holder: lock.Holder, Acting: h.leadsPromotion(s.Service()), Token: lock.Token()},
 	}
 	if f, found := s.Floor(); found {
 		out.Floor = showPosition(f.Position)
--- a/node/entry/show_test.go
+++ b/node/entry/show_test.go
@@ -15,9 +15,9 @@
 	"github.com/dotterelswitch/dotterelswitch/standin/lineplatform"
 )
 
-// TestHostShowsWhatItHolds: an operator sees the sessions, the configuration,
+// TestShowReportsHostState: an operator sees the sessions, the configuration,
 // the store, the lock and each upstream of a running host.
-func TestHostShowsWhatItHolds(t *testing.T) {
+func TestShowReportsHostState(t *testing.T) {
 	d := deploy(t, 2, options())
 	c := d.connect(0, "strict")
 	c.must("STORE item x")
@@ -40,12 +40,12 @@
 			require.NotZero(t, u.Connections)
 		}
 	}
-	require.Eventually(t, func() bool { return d.show(0).Services[0].Lock.Holder != "" }, eventually, poll)
+	require.Eventually(t, func() bool { return d.show(0).Services[0].Lock.Holder != "" }, waitLimit, pollInterval)
 }
 
-// TestDeadUpstreamIsShown: what a host believes of a silent primary and of a
+// TestShowReportsFailingUpstreamAndStoreOutage: what a host believes of a silent primary and of a
 // lost store is visible while it lasts.
-func TestDeadUpstreamIsShown(t *testing.T) {
+func TestShowReportsFailingUpstreamAndStoreOutage(t *testing.T) {
 	d := deploy(t, 1, options())
 	c := d.connect(0, "strict")
 	c.must("STORE item x")
@@ -56,11 +56,11 @@
 		c.do("FETCH item")
 		svc := d.show(0).Services[0]
 		return svc.Primary != old && upstream(svc, old).Failing
-	}, eventually, poll)
+	}, waitLimit, pollInterval)
 	d.platform.Store.Fail(lineplatform.Refusing)
-	require.Eventually(t, func() bool { return d.show(0).Store.Away }, eventually, poll)
+	require.Eventually(t, func() bool { return d.show(0).Store.Away }, waitLimit, pollInterval)
 	d.platform.Store.Fail(lineplatform.Up)
-	require.Eventually(t, func() bool { return !d.show(0).Store.Away }, eventually, poll)
+	require.Eventually(t, func() bool { return !d.show(0).Store.Away }, waitLimit, pollInterval)
 }
 
 func upstream(s *inspectpb.Service, name string) *inspectpb.Upstream {
@@ -72,9 +72,9 @@
 	return &inspectpb.Upstream{}
 }
 
-// TestCallsAndPromotionsAreCounted reads the metrics page with the usual
+// TestMetricsCountStoreCallsAndPromotions reads the metrics page with the usual
 // library and looks for the calls to the store and the promotion.
-func TestCallsAndPromotionsAreCounted(t *testing.T) {
+func TestMetricsCountStoreCallsAndPromotions(t *testing.T) {
 	d := deploy(t, 1, options())
 	c := d.connect(0, "strict")
 	c.must("STORE item x")
@@ -86,7 +86,7 @@
 			sum(t, page, "dotterelswitch_store_calls", "call", "watch") > 0 &&
 			sum(t, page, "dotterelswitch_store_calls", "call", "grant_lease") == 1 &&
 			sum(t, page, "dotterelswitch_store_calls", "result", "ok") > 0
-	}, eventually, 10*poll)
+	}, waitLimit, 10*pollInterval)
 }
 
 // show asks a host to describe itself.
--- a/node/entry/startup.go
+++ b/node/entry/startup.go
@@ -15,11 +15,11 @@
 
 // startupPoll is how often a host that has just started looks for what a caller
 // waits for: well below the time of one statement.
-const startupPoll = 10 * time.Millisecond
+const startupPollInterval = 10 * time.Millisecond
 
 // AwaitCatalog implements edge.Backend.
 func (h *Host) AwaitCatalog(ctx context.Context) *catalog.Catalog {
-	if !h.settings.Without.Enabled(mechanism.StartupWait) {
+	if !h.settings.Disabled.Enabled(mechanism.StartupWait) {
 		return h.registry.Catalog()
 	}
 	return awaitStartup(ctx, startup.LoginDeadline(h.startedAt, clock.Now()), h.registry.Catalog)
@@ -35,7 +35,7 @@
 func awaitStartup[T any](ctx context.Context, until time.Duration, find func() *T) *T {
 	for {
 		found := find()
-		if found != nil || clock.Now() >= until || !clock.Sleep(ctx, startupPoll) {
+		if found != nil || clock.Now() >= until || !clock.Sleep(ctx, startupPollInterval) {
 			return found
 		}
 	}
@@ -44,17 +44,17 @@
 // knowsFleet reports whether the other hosts are known well enough to share the
 // members' connections with them. While they are not, statements wait for their
 // group, and the sets are looked at again when they should be.
-func (h *Host) knowsFleet(hosts []gates.Host) bool {
-	if h.fleetKnown || !h.settings.Without.Enabled(mechanism.FleetWait) {
+func (h *Host) fleetStable(hosts []gates.Host) bool {
+	if h.fleetWasStable || !h.settings.Disabled.Enabled(mechanism.FleetWait) {
 		return true
 	}
 	now := clock.Now()
-	h.starting.Observe(len(hosts), h.registry.Remembered(), now)
-	if !h.starting.Stable(now) {
-		time.AfterFunc(h.starting.StableAt()-now, h.poke)
+	h.fleetStability.Observe(len(hosts), h.registry.Remembered(), now)
+	if !h.fleetStability.Stable(now) {
+		time.AfterFunc(h.fleetStability.StableAt()-now, h.wakeReconcile)
 		return false
 	}
-	h.fleetKnown = true
+	h.fleetWasStable = true
 	eventlog.FleetKnown.Info(h.log).Int("hosts", len(hosts)).Bool("remembered", h.registry.Remembered()).Send()
 	return true
 }
--- a/node/entry/statements_test.go
+++ b/node/entry/statements_test.go
@@ -10,7 +10,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestStatementsThroughAHost(t *testing.T) {
+func TestStatements(t *testing.T) {
 	d := deploy(t, 1, options())
 	c := d.connect(0, "own")
 	w := c.must("STORE item-1 hello world")
@@ -33,7 +33,7 @@
 	require.Equal(t, 1, d.group.Committed(kept.id))
 }
 
-func TestBadInputIsNamedAndLosesNothing(t *testing.T) {
+func TestMalformedInputIsRefused(t *testing.T) {
 	d := deploy(t, 1, options())
 	c := d.connect(0, "strict")
 	for _, text := range []string{"DROP x", "AFTER 1.1 FETCH a", "STATUS", "STORE a", "COMMIT"} {
@@ -88,7 +88,7 @@
 	d := deploy(t, 1, options())
 	d.platform.Configure(routes(300*time.Millisecond), timeout)
 	c := d.connect(0, "strict")
-	require.Eventually(t, func() bool { return c.must("STORE warm up").code == "" }, eventually, poll)
+	require.Eventually(t, func() bool { return c.must("STORE warm up").code == "" }, waitLimit, pollInterval)
 	waitForTimeout(t, d, 300*time.Millisecond)
 	d.group.Primary().LoseAnswers(1)
 	res := c.do("STORE item x")
@@ -103,12 +103,12 @@
 	require.Eventually(t, func() bool {
 		r, found := d.hosts[0].Catalog().Route("strict")
 		return found && r.StatementTimeout == want
-	}, eventually, poll)
+	}, waitLimit, pollInterval)
 }
 
-// TestBusyMemberIsTriedElsewhere: a promise that nothing ran allows another
+// TestBusyRefusalIsRetriedOnAnotherMember: a promise that nothing ran allows another
 // try.
-func TestBusyMemberIsTriedElsewhere(t *testing.T) {
+func TestBusyRefusalIsRetriedOnAnotherMember(t *testing.T) {
 	d := deploy(t, 1, options())
 	c := d.connect(0, "own")
 	c.must("STORE item x")
@@ -120,12 +120,12 @@
 	require.Equal(t, 1, d.group.Committed(w.id))
 }
 
-// TestRestingTransactionEnds: the configuration bounds how long a transaction
+// TestIdleTransactionTimesOut: the configuration bounds how long a transaction
 // may rest; its writes are dropped and the caller is told.
-func TestRestingTransactionEnds(t *testing.T) {
+func TestIdleTransactionTimesOut(t *testing.T) {
 	d := deploy(t, 1, options())
 	d.platform.Configure(routes(timeout), 200*time.Millisecond)
-	require.Eventually(t, func() bool { return d.hosts[0].Catalog().TxIdleTimeout == 200*time.Millisecond }, eventually, poll)
+	require.Eventually(t, func() bool { return d.hosts[0].Catalog().TxIdleTimeout == 200*time.Millisecond }, waitLimit, pollInterval)
 	c := d.connect(0, "strict")
 	c.must("BEGIN")
 	w := c.must("STORE item x")
@@ -137,9 +137,9 @@
 	require.Zero(t, d.group.Committed(w.id))
 }
 
-// TestSessionsDoNotMix runs sessions with values and prepared names of their
+// TestSessionsAreIsolatedOnPooledConnections runs sessions with values and prepared names of their
 // own over few connections and checks each answer.
-func TestSessionsDoNotMix(t *testing.T) {
+func TestSessionsAreIsolatedOnPooledConnections(t *testing.T) {
 	o := options()
 	o.MaxConnections = 4
 	d := deploy(t, 1, o)
@@ -174,11 +174,11 @@
 	return nil
 }
 
-// TestReadWhoseAnswerIsLostGoesElsewhere: a member that ran a read and did not
+// TestReadWithLostAnswerIsRetriedElsewhere: a member that ran a read and did not
 // answer must not use up the read's whole time.
-func TestReadWhoseAnswerIsLostGoesElsewhere(t *testing.T) {
+func TestReadWithLostAnswerIsRetriedElsewhere(t *testing.T) {
 	d := deploy(t, 1, options())
-	d.aimAt(200*time.Millisecond, timeout)
+	d.setLatencyTarget(200*time.Millisecond, timeout)
 	c := d.connect(0, "own")
 	c.must("STORE item x")
 	for _, m := range d.group.Members() {
--- a/node/entry/stop.go
+++ b/node/entry/stop.go
@@ -13,24 +13,24 @@
 const (
 	// noticeShare is how long the host serves on as before, until the platform
 	// has asked twice and sends no new callers: two seconds of six.
-	noticeShare = 0.4
+	noticeFraction = 0.4
 	// transactionShare is when open transactions that rest are ended.
-	transactionShare = 0.55
+	abortFraction = 0.55
 	// lastShare is when the host ends even though callers are left.
-	lastShare = 0.85
+	drainFraction = 0.85
 )
 
 // Stop ends the host in order within its grace. It reports whether no caller
 // was cut.
 func (h *Host) Stop() bool {
 	began := time.Now()
-	eventlog.Stopping.Info(h.log).Dur("grace_ms", h.settings.Grace).Int("callers", h.gateway.Sessions()).Send()
+	eventlog.Stopping.Info(h.log).Dur("grace_ms", h.settings.GracePeriod).Int("callers", h.gateway.Sessions()).Send()
 	h.stopping.Store(true)
-	h.leave()
-	time.Sleep(h.share(noticeShare))
-	ctx, cancel := context.WithDeadline(context.Background(), began.Add(h.share(lastShare)))
+	h.deregister()
+	time.Sleep(h.graceFraction(noticeFraction))
+	ctx, cancel := context.WithDeadline(context.Background(), began.Add(h.graceFraction(drainFraction)))
 	defer cancel()
-	timer := time.AfterFunc(h.share(transactionShare-noticeShare), func() {
+	timer := time.AfterFunc(h.graceFraction(abortFraction-noticeFraction), func() {
 		h.gateway.AbortTransactions("the host is stopping")
 	})
 	defer timer.Stop()
@@ -38,7 +38,7 @@
 	if !clean {
 		eventlog.StopForced.Warn(h.log).Int("callers", h.gateway.Sessions()).Send()
 	}
-	h.awaitPeers(ctx)
+	h.awaitRemoteWork(ctx)
 	h.cancel()
 	h.shutDownServers()
 	h.close()
@@ -48,7 +48,7 @@
 
 // leave takes the host off the list of those that keep connections. What other
 // hosts have begun here goes on.
-func (h *Host) leave() {
+func (h *Host) deregister() {
 	ctx, cancel := context.WithTimeout(context.Background(), closeTimeout)
 	defer cancel()
 	if err := h.registry.Leave(ctx); err != nil {
@@ -57,17 +57,17 @@
 }
 
 // awaitPeers waits until what other hosts have begun here has ended.
-func (h *Host) awaitPeers(ctx context.Context) {
-	for ctx.Err() == nil && h.busyForPeers() {
-		time.Sleep(peersPoll)
+func (h *Host) awaitRemoteWork(ctx context.Context) {
+	for ctx.Err() == nil && h.hasRemoteWork() {
+		time.Sleep(remoteWorkPollInterval)
 	}
 }
 
 // peersPoll is how often a stopping host looks whether others still need it.
-const peersPoll = 20 * time.Millisecond
+const remoteWorkPollInterval = 20 * time.Millisecond
 
-func (h *Host) busyForPeers() bool {
-	if h.jobs.Load() > 0 {
+func (h *Host) hasRemoteWork() bool {
+	if h.remoteJobs.Load() > 0 {
 		return true
 	}
 	for _, s := range h.allSets() {
@@ -78,8 +78,8 @@
 	return false
 }
 
-func (h *Host) share(part float64) time.Duration {
-	return time.Duration(part * float64(h.settings.Grace))
+func (h *Host) graceFraction(part float64) time.Duration {
+	return time.Duration(part * float64(h.settings.GracePeriod))
 }
 
 // closeTimeout bounds the end of each part.
--- a/node/entry/stop_test.go
+++ b/node/entry/stop_test.go
@@ -12,10 +12,10 @@
 	"github.com/dotterelswitch/dotterelswitch/standin/loopback"
 )
 
-// TestAnswerOnItsWayLeavesAStoppingHost: a job counts as over before its answer
+// TestShutdownCompletesRunningResponse: a job counts as over before its answer
 // has left. The answer gets out although the host has nothing left to do; the
 // commit that it tells of would be in doubt otherwise.
-func TestAnswerOnItsWayLeavesAStoppingHost(t *testing.T) {
+func TestShutdownCompletesRunningResponse(t *testing.T) {
 	address, err := loopback.FreeAddress()
 	require.NoError(t, err)
 	h := &Host{failed: make(chan error, 1)}
@@ -45,8 +45,8 @@
 	require.Equal(t, "committed", <-got)
 }
 
-// TestStreamsEndWithTheHost: a host that others follow is not kept from ending.
-func TestStreamsEndWithTheHost(t *testing.T) {
+// TestStreamsEndOnShutdown: a host that others follow is not kept from ending.
+func TestStreamsEndOnShutdown(t *testing.T) {
 	address, err := loopback.FreeAddress()
 	require.NoError(t, err)
 	h := &Host{failed: make(chan error, 1)}
--- a/node/entry/news.go
+++ b/node/entry/store_progress.go
@@ -9,13 +9,15 @@
 )
 
 // newsInterval is how often a host logs how far it has heard of the store.
-const newsInterval = 5 * time.Second
+const storeProgressInterval = 5 * time.Second
 
 // logNews logs how far this host has heard of the store, and on which way, until
 // the context ends.
-func (h *Host) logNews(ctx context.Context) { clock.Every(ctx, newsInterval, h.writeNews) }
+func (h *Host) logStoreProgress(ctx context.Context) {
+	clock.Every(ctx, storeProgressInterval, h.writeStoreProgressLine)
+}
 
-func (h *Host) writeNews() {
+func (h *Host) writeStoreProgressLine() {
 	st, counts := h.registry.State(), h.registry.TakeNewsCounts()
 	var version uint64
 	if c := h.registry.Catalog(); c != nil {
--- a/node/entry/teams_test.go
+++ b/node/entry/teams_test.go
@@ -27,11 +27,11 @@
 	d.platform.SetTeams(teams...)
 	version := d.platform.Configure(routes(timeout), timeout)
 	for _, h := range d.hosts {
-		require.Eventually(d.t, func() bool { return h.Catalog().Version == version }, eventually, poll)
+		require.Eventually(d.t, func() bool { return h.Catalog().Version == version }, waitLimit, pollInterval)
 	}
 }
 
-func TestMembersAreToldTheTeamNeverTheKey(t *testing.T) {
+func TestMembersReceiveTeamNotKey(t *testing.T) {
 	d := deploy(t, 2, options())
 	d.setTeams(schools, clubs)
 	want := map[string]string{}
@@ -58,15 +58,15 @@
 func TestUnknownKeyIsRefusedAtLogin(t *testing.T) {
 	d := deploy(t, 1, options())
 	d.setTeams(schools)
-	_, err := linecaller.OpenWithKey(d.settings[0].CallerAddress, "own", "key-of-nobody", "x", eventually)
+	_, err := linecaller.OpenWithKey(d.settings[0].CallerAddress, "own", "key-of-nobody", "x", waitLimit)
 	var refused *linecaller.RefusedError
 	require.ErrorAs(t, err, &refused)
 	require.Equal(t, "UNAUTH", refused.Code())
 }
 
-// TestKeyThatIsTakenAwayEndsOpenSessions: a session that was open before, and a
+// TestRevokedKeyIsRefusedInOpenSessions: a session that was open before, and a
 // transaction in it, get nothing more run; other keys of the team stay.
-func TestKeyThatIsTakenAwayEndsOpenSessions(t *testing.T) {
+func TestRevokedKeyIsRefusedInOpenSessions(t *testing.T) {
 	d := deploy(t, 1, options())
 	d.setTeams(schools, clubs)
 	idle, open, other := d.connectAs(0, "own", "key-schools-1"), d.connectAs(0, "own", "key-schools-1"), d.connectAs(0, "own", "key-schools-2")
@@ -102,10 +102,10 @@
 // tolerance is by how much a team may exceed its limit in these tests.
 var tolerance = quota.Tolerance{Window: time.Second, Share: 0.1, Operations: 20}
 
-// TestHotTeamIsLimitedOverAllHosts: a team asks three hosts for many times its
+// TestTeamLimitHoldsAcrossHosts: a team asks three hosts for many times its
 // limit. In no window more run than may; what is refused has not run and says when
 // to come back; another team is served all the while.
-func TestHotTeamIsLimitedOverAllHosts(t *testing.T) {
+func TestTeamLimitHoldsAcrossHosts(t *testing.T) {
 	d := deployPlatform(t, options())
 	d.tolerance = tolerance
 	for range 3 {
@@ -153,8 +153,8 @@
 	require.GreaterOrEqual(t, most, 30, "what the limit allows is served")
 }
 
-// TestTransactionIsOneOperation: its statements are not counted one by one.
-func TestTransactionIsOneOperation(t *testing.T) {
+// TestTransactionCountsAsOneOperation: its statements are not counted one by one.
+func TestTransactionCountsAsOneOperation(t *testing.T) {
 	d := deployPlatform(t, options())
 	d.tolerance = quota.Tolerance{Window: 5 * time.Second}
 	d.addHost()
@@ -169,7 +169,7 @@
 		}
 		c.must("ROLLBACK")
 		return false
-	}, eventually, 50*time.Millisecond)
+	}, waitLimit, 50*time.Millisecond)
 	for range 50 {
 		c.must("STORE a x")
 	}
@@ -193,33 +193,33 @@
 	return most
 }
 
-// lockedLog is a log that several goroutines write.
-type lockedLog struct {
+// syncLog is a log that several goroutines write.
+type syncLog struct {
 	mu   sync.Mutex
 	text strings.Builder
 }
 
-func (l *lockedLog) Write(p []byte) (int, error) {
+func (l *syncLog) Write(p []byte) (int, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.text.Write(p)
 }
 
-func (l *lockedLog) String() string {
+func (l *syncLog) String() string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.text.String()
 }
 
-// TestLogsShowNoKey: neither a served, a refused nor a revoked caller's.
-func TestLogsShowNoKey(t *testing.T) {
-	log := &lockedLog{}
+// TestLogsDoNotContainKeys: neither a served, a refused nor a revoked caller's.
+func TestLogsDoNotContainKeys(t *testing.T) {
+	log := &syncLog{}
 	d := deploy(t, 1, options())
-	d.logTo = log
+	d.logWriter = log
 	d.addHost()
 	d.setTeams(schools, clubs)
 	d.connectAs(1, "own", "key-schools-1").must("FETCH a")
-	_, err := linecaller.OpenWithKey(d.settings[1].CallerAddress, "own", "key-of-nobody", "x", eventually)
+	_, err := linecaller.OpenWithKey(d.settings[1].CallerAddress, "own", "key-of-nobody", "x", waitLimit)
 	require.Error(t, err)
 	d.setTeams(clubs)
 	d.hosts[1].Kill()
@@ -230,9 +230,9 @@
 	}
 }
 
-// TestOperatorSeesTeams: who uses the host, within which limit, who counts it, and
+// TestShowReportsTeams: who uses the host, within which limit, who counts it, and
 // what was refused, without a key.
-func TestOperatorSeesTeams(t *testing.T) {
+func TestShowReportsTeams(t *testing.T) {
 	d := deployPlatform(t, options())
 	d.tolerance = quota.Tolerance{Window: time.Second}
 	d.addHost()
@@ -241,7 +241,7 @@
 	d.setTeams(limited, clubs)
 	c := d.connectAs(0, "strict", "key-schools-1")
 	served, refused := 0, 0
-	for until := time.Now().Add(eventually); (served == 0 || refused == 0) && time.Now().Before(until); {
+	for until := time.Now().Add(waitLimit); (served == 0 || refused == 0) && time.Now().Before(until); {
 		if c.do("FETCH a").code == "" {
 			served++
 		} else {
@@ -266,5 +266,5 @@
 	require.Eventually(t, func() bool {
 		m := d.metrics(0)
 		return strings.Contains(m, `team="schools"`) && strings.Contains(m, "dotterelswitch_operations")
-	}, eventually, poll)
+	}, waitLimit, pollInterval)
 }
--- a/node/entry/groups.go
+++ b/node/entry/ticker.go
@@ -10,18 +10,18 @@
 
 // ticksPerTidy is how many glances at the promoters go by until connections are
 // looked over.
-const ticksPerTidy = int(replicaset.TidyInterval / promoter.Interval)
+const ticksPerPoolCheck = int(replicaset.TidyInterval / promoter.Interval)
 
 // watchGroups looks at all groups by one clock, until the context ends: a timer a
 // group would wake the host for each.
-func (h *Host) watchGroups(ctx context.Context) {
+func (h *Host) tickGroups(ctx context.Context) {
 	ticks := 0
 	clock.Every(ctx, promoter.Interval, func() {
 		now := clock.Now()
 		for _, p := range h.allPromoters() {
 			p.Tick(now)
 		}
-		if ticks++; ticks%ticksPerTidy != 0 {
+		if ticks++; ticks%ticksPerPoolCheck != 0 {
 			return
 		}
 		for _, s := range h.allSets() {
--- a/node/entry/talk.go
+++ b/node/entry/traffic.go
@@ -13,39 +13,39 @@
 
 // talkInterval is how often a host logs what it sent for control: one line, which
 // is less than a tenth of what a loaded host writes.
-const talkInterval = 5 * time.Second
+const trafficLogInterval = 5 * time.Second
 
 // The purposes of datagrams to other hosts. Calls to the store are counted by
 // their name and result.
 const (
-	talkFloor        = "datagram floor"
-	talkOpinion      = "datagram opinion"
-	talkAnnouncement = "datagram announcement"
-	talkAlive        = "datagram alive"
-	talkQuota        = "datagram quota"
-	talkStore        = "store "
+	trafficFloor        = "datagram floor"
+	trafficOpinion      = "datagram opinion"
+	trafficAnnouncement = "datagram announcement"
+	trafficLiveness     = "datagram alive"
+	trafficQuota        = "datagram quota"
+	trafficStorePrefix  = "store "
 )
 
 // What became of the statements that needed a connection to a member. An opened one
 // costs the member as much as a statement.
 const (
-	connectionFound   = "connection found"
+	connectionReused  = "connection found"
 	connectionOpened  = "connection opened"
 	connectionEvicted = "connection closed for another team"
 )
 
 // talkCounts counts what a host sends for control, by purpose. It is safe for
 // concurrent use; its lock is a leaf.
-type talkCounts struct {
+type trafficCounts struct {
 	mu     sync.Mutex
 	counts map[string]int
 }
 
-func newTalkCounts() *talkCounts { return &talkCounts{counts: map[string]int{}} }
+func newTrafficCounts() *trafficCounts { return &trafficCounts{counts: map[string]int{}} }
 
-func (c *talkCounts) add(purpose string) { c.addMany(purpose, 1) }
+func (c *trafficCounts) add(purpose string) { c.addMany(purpose, 1) }
 
-func (c *talkCounts) addMany(purpose string, n int) {
+func (c *trafficCounts) addMany(purpose string, n int) {
 	if n == 0 {
 		return
 	}
@@ -55,7 +55,7 @@
 }
 
 // take returns the counts since it was last called.
-func (c *talkCounts) take() map[string]int {
+func (c *trafficCounts) take() map[string]int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	out := maps.Clone(c.counts)
@@ -67,29 +67,29 @@
 func (h *Host) countConnections() {
 	for _, s := range h.allSets() {
 		c := s.TakeConnectionCounts()
-		h.talk.addMany(connectionFound, c.Reused)
-		h.talk.addMany(connectionOpened, c.Opened)
-		h.talk.addMany(connectionEvicted, c.Evicted)
+		h.traffic.addMany(connectionReused, c.Reused)
+		h.traffic.addMany(connectionOpened, c.Opened)
+		h.traffic.addMany(connectionEvicted, c.Evicted)
 		h.metrics.connections(s.Service(), c)
 	}
 }
 
 // logTalk logs what this host sent for control, until the context ends and once
 // more then.
-func (h *Host) logTalk(ctx context.Context) {
-	clock.Every(ctx, talkInterval, h.writeTalk)
-	h.writeTalk()
+func (h *Host) logTraffic(ctx context.Context) {
+	clock.Every(ctx, trafficLogInterval, h.writeTrafficLine)
+	h.writeTrafficLine()
 }
 
 // storeCalled counts a call to the platform's store.
-func (h *Host) storeCalled(call registry.CallName, result string) {
+func (h *Host) recordStoreCall(call registry.CallName, result string) {
 	h.metrics.storeCall(call, result)
-	h.talk.add(talkStore + string(call) + " " + result)
+	h.traffic.add(trafficStorePrefix + string(call) + " " + result)
 }
 
-func (h *Host) writeTalk() {
+func (h *Host) writeTrafficLine() {
 	h.countConnections()
-	if counts := h.talk.take(); len(counts) > 0 {
+	if counts := h.traffic.take(); len(counts) > 0 {
 		eventlog.TalkCounted.Info(h.log).Interface("talk", counts).Send()
 	}
 }
--- a/node/gateway/batch.go
+++ b/node/gateway/batch.go
@@ -11,39 +11,40 @@
 // maxPrepared bounds the named statements of one session.
 const maxPrepared = 1024
 
-// preparedStatement is a statement that the caller has parsed. It lives in the
-// session, because the upstream connection changes from request to request.
+// preparedStatement is a statement prepared by the caller. The session keeps it,
+// because requests may run on different upstream connections.
 type preparedStatement struct {
 	parse     pgproto3.Parse
 	statement classify.Statement
 }
 
-// batch collects the extended-protocol messages up to Sync. Named statements
-// become the unnamed one of the upstream connection: a Parse is put ahead of
-// each use of a statement that is not the unnamed one at that point, and its
-// ParseComplete is taken out of the answer.
+// batch collects extended-protocol messages up to Sync. Named statements are
+// mapped to the upstream connection's unnamed statement: a Parse is inserted
+// before each use of a statement that is not the current unnamed one, and its
+// ParseComplete is removed from the answer.
 type batch struct {
 	frames []byte
-	// hide lists, among the ParseCompletes of the answer, those to take out.
-	hide   []bool
-	parsed string
-	isOpen bool
-	kind   classify.Kind
-	// executes is whether any Execute is among the messages.
-	executes  bool
-	statement classify.Statement
-	bound     map[string]classify.Statement
-	refusal   *outcome.Refusal
+	// hideParseComplete has an entry for each Parse sent, true if its
+	// ParseComplete is to be removed from the answer.
+	hideParseComplete []bool
+	unnamed           string
+	hasUnnamed        bool
+	kind              classify.Kind
+	// hasExecute reports whether the batch contains an Execute.
+	hasExecute bool
+	statement  classify.Statement
+	portals    map[string]classify.Statement
+	refusal    *outcome.Refusal
 }
 
-// add takes one message. A refusal that is returned ends the connection; one
-// that is kept in the batch answers it at Sync.
+// add appends one message. A returned refusal ends the connection; a refusal
+// stored in the batch is sent at Sync.
 func (b *batch) add(fr frame, prepared map[string]preparedStatement) *outcome.Refusal {
 	if b.refusal != nil {
 		return nil
 	}
 	var err error
-	switch fr.kind {
+	switch fr.msgType {
 	case 'P':
 		err = b.addParse(fr.body, prepared)
 	case 'B':
@@ -78,14 +79,14 @@
 	name := msg.Name
 	msg.Name = ""
 	prepared[name] = preparedStatement{parse: msg, statement: st}
-	b.note(st)
+	b.noteStatement(st)
 	return b.emitParse(name, msg, false)
 }
 
-// emitParse makes a statement the unnamed one of the connection.
+// emitParse appends a Parse of a statement as the connection's unnamed statement.
 func (b *batch) emitParse(name string, msg pgproto3.Parse, hidden bool) error {
-	b.parsed, b.isOpen = name, true
-	b.hide = append(b.hide, hidden)
+	b.unnamed, b.hasUnnamed = name, true
+	b.hideParseComplete = append(b.hideParseComplete, hidden)
 	return b.encode(&msg)
 }
 
@@ -97,14 +98,15 @@
 	return err
 }
 
-// use makes sure that the named statement is the connection's unnamed one.
-func (b *batch) use(name string, prepared map[string]preparedStatement) (classify.Statement, bool, error) {
+// useStatement appends a Parse unless the named statement is already the
+// connection's unnamed one.
+func (b *batch) useStatement(name string, prepared map[string]preparedStatement) (classify.Statement, bool, error) {
 	p, found := prepared[name]
 	if !found {
 		b.refusal = &outcome.Refusal{Code: outcome.ProtocolViolation, Detail: "prepared statement " + name + " does not exist"}
 		return classify.Statement{}, false, nil
 	}
-	if b.isOpen && b.parsed == name {
+	if b.hasUnnamed && b.unnamed == name {
 		return p.statement, true, nil
 	}
 	return p.statement, true, b.emitParse(name, p.parse, true)
@@ -115,14 +117,14 @@
 	if err := msg.Decode(body); err != nil {
 		return err
 	}
-	st, found, err := b.use(msg.PreparedStatement, prepared)
+	st, found, err := b.useStatement(msg.PreparedStatement, prepared)
 	if !found || err != nil {
 		return err
 	}
-	if b.bound == nil {
-		b.bound = make(map[string]classify.Statement)
+	if b.portals == nil {
+		b.portals = make(map[string]classify.Statement)
 	}
-	b.bound[msg.DestinationPortal] = st
+	b.portals[msg.DestinationPortal] = st
 	msg.PreparedStatement = ""
 	return b.encode(&msg)
 }
@@ -133,11 +135,11 @@
 		return err
 	}
 	if msg.ObjectType == 'S' {
-		st, found, err := b.use(msg.Name, prepared)
+		st, found, err := b.useStatement(msg.Name, prepared)
 		if !found || err != nil {
 			return err
 		}
-		b.note(st)
+		b.noteStatement(st)
 		msg.Name = ""
 	}
 	return b.encode(&msg)
@@ -148,15 +150,16 @@
 	if err := msg.Decode(body); err != nil {
 		return err
 	}
-	st, found := b.bound[msg.Portal]
+	st, found := b.portals[msg.Portal]
 	if !found {
-		// A portal of an earlier batch lives on in a transaction.
+		// A portal of an earlier batch stays open within a transaction; its
+		// statement is unknown and is treated as a write.
 		st = classify.Statement{Kind: classify.Write, Count: 1}
 	}
-	if !b.executes {
-		b.executes, b.kind, b.statement = true, st.Kind, st
+	if !b.hasExecute {
+		b.hasExecute, b.kind, b.statement = true, st.Kind, st
 	} else {
-		b.kind = join(b.kind, st.Kind)
+		b.kind = mergeKinds(b.kind, st.Kind)
 	}
 	return b.encode(&msg)
 }
@@ -169,30 +172,30 @@
 	if msg.ObjectType == 'S' {
 		delete(prepared, msg.Name)
 		msg.Name = ""
-		b.isOpen = false
+		b.hasUnnamed = false
 	}
 	return b.encode(&msg)
 }
 
-// note remembers the statement of a batch that executes nothing.
-func (b *batch) note(st classify.Statement) {
-	if !b.executes {
+// noteStatement records the statement of a batch without an Execute.
+func (b *batch) noteStatement(st classify.Statement) {
+	if !b.hasExecute {
 		b.statement = st
 	}
 }
 
-// join returns the kind of several statements in one batch.
-func join(a, b classify.Kind) classify.Kind {
+// mergeKinds returns the combined kind of two statements of one batch.
+func mergeKinds(a, b classify.Kind) classify.Kind {
 	if a == classify.Read && b == classify.Read {
 		return classify.Read
 	}
 	return classify.Write
 }
 
-// kindToRun returns how the batch is routed. One that executes nothing only
-// asks for descriptions, which any member can give.
-func (b *batch) kindToRun() classify.Kind {
-	if !b.executes {
+// routingKind returns the kind by which the batch is routed. A batch without an
+// Execute only requests descriptions, which any member can return.
+func (b *batch) routingKind() classify.Kind {
+	if !b.hasExecute {
 		return classify.Read
 	}
 	return b.kind
@@ -200,18 +203,18 @@
 
 const parseComplete = '1'
 
-// visible takes the hidden ParseCompletes out of an answer.
-func (b *batch) visible(answer []byte) []byte {
+// stripHidden removes the ParseCompletes of inserted Parses from an answer.
+func (b *batch) stripHidden(answer []byte) []byte {
 	out := make([]byte, 0, len(answer))
-	seen := 0
+	parseCompletes := 0
 	for {
 		message, rest, ok := pgframe.Next(answer)
 		if !ok {
 			return out
 		}
-		hidden := message[0] == parseComplete && seen < len(b.hide) && b.hide[seen]
+		hidden := message[0] == parseComplete && parseCompletes < len(b.hideParseComplete) && b.hideParseComplete[parseCompletes]
 		if message[0] == parseComplete {
-			seen++
+			parseCompletes++
 		}
 		if !hidden {
 			out = append(out, message...)
--- a/node/gateway/gateway.go
+++ b/node/gateway/gateway.go
@@ -1,6 +1,6 @@
-// Package gateway speaks the PostgreSQL protocol (version 3) to callers. The
-// event loops of gnet read and frame messages; a bounded pool of workers runs
-// the sessions that have something to do, one worker at a time for each.
+// Package gateway serves callers over the PostgreSQL protocol, version 3. The
+// gnet event loops read and frame messages; a bounded worker pool runs the
+// sessions with pending messages, at most one worker per session.
 package gateway
 
 import (
@@ -28,18 +28,18 @@
 type Config struct {
 	// Address is the listener's host:port.
 	Address string
-	// MaxMessage is the largest message taken from a caller, in bytes.
+	// MaxMessage bounds the size of a caller's message in bytes.
 	MaxMessage int
-	// MaxConnections bounds the callers of one host.
+	// MaxConnections bounds the connections of this host.
 	MaxConnections int
-	// MaxTeamConnections bounds the callers of one team on one host, where
-	// the configuration does not say otherwise.
+	// MaxTeamConnections bounds the connections of one team on this host unless
+	// the configuration sets a limit for the team.
 	MaxTeamConnections int
-	// StartupTimeout bounds the time until a caller is logged in.
+	// StartupTimeout bounds the time from connect to the end of the login.
 	StartupTimeout time.Duration
-	// StatementTimeout is the deadline of a request that sets none.
+	// StatementTimeout is the default and maximum statement timeout.
 	StatementTimeout time.Duration
-	// Workers bounds the requests that run at once.
+	// Workers bounds the requests that run concurrently.
 	Workers int
 	Log     zerolog.Logger
 }
@@ -47,22 +47,22 @@
 // Gateway accepts callers. It is safe for concurrent use.
 type Gateway struct {
 	gnet.BuiltinEventEngine
-	cfg     Config
-	router  *router.Router
-	config  func() *conf.Config
-	metrics *metrics.Metrics
-	workers *ants.Pool
-	engine  gnet.Engine
-	booted  chan struct{}
+	cfg       Config
+	router    *router.Router
+	config    func() *conf.Config
+	metrics   *metrics.Metrics
+	workers   *ants.Pool
+	engine    gnet.Engine
+	listening chan struct{}
 
-	draining atomic.Bool
-	busy     atomic.Int64
+	draining      atomic.Bool
+	activeWorkers atomic.Int64
 
 	// mu guards the fields below.
-	mu       sync.Mutex
-	sessions map[uint32]*session
-	teams    map[string]int
-	nextPID  uint32
+	mu              sync.Mutex
+	sessions        map[uint32]*session
+	teamConnections map[string]int
+	nextPID         uint32
 }
 
 // New returns a gateway; Run starts it.
@@ -73,8 +73,8 @@
 	}
 	return &Gateway{
 		cfg: cfg, router: r, config: config, metrics: m, workers: workers,
-		booted:   make(chan struct{}),
-		sessions: make(map[uint32]*session), teams: make(map[string]int),
+		listening: make(chan struct{}),
+		sessions:  make(map[uint32]*session), teamConnections: make(map[string]int),
 	}, nil
 }
 
@@ -85,13 +85,13 @@
 		gnet.WithTCPNoDelay(gnet.TCPNoDelay), gnet.WithLogger(quietlog.Logger{}))
 }
 
-// Booted is closed once the listener accepts.
-func (g *Gateway) Booted() <-chan struct{} { return g.booted }
+// Listening returns a channel that is closed once the gateway accepts connections.
+func (g *Gateway) Listening() <-chan struct{} { return g.listening }
 
 // OnBoot implements gnet.EventHandler.
 func (g *Gateway) OnBoot(e gnet.Engine) gnet.Action {
 	g.engine = e
-	close(g.booted)
+	close(g.listening)
 	return gnet.None
 }
 
@@ -106,7 +106,8 @@
 	return nil, gnet.None
 }
 
-// add registers a session under a process number and a secret.
+// add registers a session under a new process ID and secret key, which identify it
+// in cancel requests.
 func (g *Gateway) add(s *session) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -131,13 +132,13 @@
 	g.mu.Lock()
 	delete(g.sessions, s.pid)
 	if s.teamCounted {
-		g.teams[s.team]--
-		if g.teams[s.team] == 0 {
-			delete(g.teams, s.team)
+		g.teamConnections[s.team]--
+		if g.teamConnections[s.team] == 0 {
+			delete(g.teamConnections, s.team)
 		}
 	}
 	g.mu.Unlock()
-	s.closed()
+	s.onDisconnect()
 	return gnet.None
 }
 
@@ -156,8 +157,9 @@
 	return gnet.None
 }
 
-// startupCheck is how often logins that take too long are looked for.
-const startupCheck = time.Second
+// startupCheckInterval is how often the gateway checks for logins that exceed the
+// startup timeout.
+const startupCheckInterval = time.Second
 
 // OnTick implements gnet.EventHandler.
 func (g *Gateway) OnTick() (time.Duration, gnet.Action) {
@@ -173,26 +175,28 @@
 		eventlog.CallerRejected.Warn(g.cfg.Log).Str("remote", s.remote).Str("reason", "start-up timeout").Send()
 		_ = s.conn.Close()
 	}
-	return startupCheck, gnet.None
+	return startupCheckInterval, gnet.None
 }
 
-// countTeam admits a session of a team, within the team's limit.
-func (g *Gateway) countTeam(s *session) bool {
+// reserveTeamConnection counts a session against its team's connection limit. It
+// returns false if the limit is reached.
+func (g *Gateway) reserveTeamConnection(s *session) bool {
 	limit := g.cfg.MaxTeamConnections
 	if t, found := g.config().Team(s.team); found && t.Connections > 0 {
 		limit = t.Connections
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if g.teams[s.team] >= limit {
+	if g.teamConnections[s.team] >= limit {
 		return false
 	}
-	g.teams[s.team]++
+	g.teamConnections[s.team]++
 	s.teamCounted = true
 	return true
 }
 
-// cancel stops the request of the session with the given key.
+// cancel cancels the running request of the session with the given process ID and
+// secret key.
 func (g *Gateway) cancel(pid, secret uint32) {
 	g.mu.Lock()
 	s, found := g.sessions[pid]
@@ -202,43 +206,42 @@
 	}
 }
 
-// Connections returns the number of callers.
+// Connections returns the number of open connections.
 func (g *Gateway) Connections() int {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return len(g.sessions)
 }
 
-// drainPoll is how often a draining gateway looks for sessions to close.
-const drainPoll = 10 * time.Millisecond
+// drainPollInterval is how often a draining gateway checks for idle sessions.
+const drainPollInterval = 10 * time.Millisecond
 
-// Drain refuses new callers, closes sessions as they become idle, and waits
-// for the rest until the context ends. It reports whether all ended by
-// themselves.
+// Drain refuses new connections and closes sessions as they become idle, until
+// none is left or ctx is done. It reports whether none is left.
 func (g *Gateway) Drain(ctx context.Context) bool {
 	g.draining.Store(true)
 	for {
 		g.mu.Lock()
-		left := make([]*session, 0, len(g.sessions))
+		remaining := make([]*session, 0, len(g.sessions))
 		for _, s := range g.sessions {
-			left = append(left, s)
+			remaining = append(remaining, s)
 		}
 		g.mu.Unlock()
-		if len(left) == 0 {
+		if len(remaining) == 0 {
 			return true
 		}
-		for _, s := range left {
+		for _, s := range remaining {
 			s.closeIfIdle()
 		}
 		select {
-		case <-time.After(drainPoll):
+		case <-time.After(drainPollInterval):
 		case <-ctx.Done():
 			return false
 		}
 	}
 }
 
-// Stop closes the listener and all sessions.
+// Stop closes the listener and all connections.
 func (g *Gateway) Stop(ctx context.Context) error {
 	err := g.engine.Stop(ctx)
 	g.workers.Release()
--- a/node/gateway/handle.go
+++ b/node/gateway/handle.go
@@ -7,20 +7,20 @@
 	"github.com/dotterelswitch/dotterelswitch/core/outcome"
 )
 
-// handle takes one message; it reports whether the connection goes on.
+// handle processes one message. It reports whether the connection stays open.
 func (s *session) handle(fr frame) bool {
-	if fr.kind == 0 {
+	if fr.msgType == 0 {
 		return s.startup(fr.body)
 	}
-	if s.awaitsKey {
-		return s.takeCredential(fr)
+	if s.awaitingPassword {
+		return s.handlePassword(fr)
 	}
-	// A key that was taken away ends the session at its next statement; an open
-	// transaction is rolled back with its connection.
-	if (fr.kind == 'Q' || fr.kind == 'S') && !s.authorized() {
+	// A revoked key ends the session at its next statement; an open transaction
+	// is rolled back when the connection closes.
+	if (fr.msgType == 'Q' || fr.msgType == 'S') && !s.checkCredential() {
 		return false
 	}
-	switch fr.kind {
+	switch fr.msgType {
 	case 'X':
 		return false
 	case 'Q':
@@ -32,19 +32,19 @@
 		}
 		return true
 	case 'S':
-		s.sync()
+		s.handleSync()
 		return true
 	case 'H':
-		// An answer before Sync would need a connection held between
-		// messages; everything is answered at Sync.
+		// Flush is ignored: answering before Sync would require holding an
+		// upstream connection between messages.
 		return true
 	default:
-		s.write(fatalMessage(outcome.Refuse(outcome.ProtocolViolation, "message type %q is out of order here", fr.kind)))
+		s.write(fatalMessage(outcome.Refuse(outcome.ProtocolViolation, "message type %q is out of order here", fr.msgType)))
 		return false
 	}
 }
 
-// handleQuery takes a simple query.
+// handleQuery processes a simple query.
 func (s *session) handleQuery(body []byte) bool {
 	var msg pgproto3.Query
 	if err := msg.Decode(body); err != nil {
@@ -52,35 +52,36 @@
 		return false
 	}
 	st := classify.Classify(msg.String)
-	if s.status == txFailed && s.pin == nil {
-		s.inFailedTransaction(st.Kind)
+	if s.status == txFailed && s.pinnedTx == nil {
+		s.answerInFailedTransaction(st.Kind)
 		return true
 	}
-	if s.pin == nil && s.local(st, msg.String) {
+	if s.pinnedTx == nil && s.answerLocally(st, msg.String) {
 		return true
 	}
 	frames, err := msg.Encode(nil)
 	if err != nil {
-		s.refuse(outcome.Refuse(outcome.ProtocolViolation, "%v", err))
+		s.sendError(outcome.Refuse(outcome.ProtocolViolation, "%v", err))
 		return true
 	}
-	s.run(work{kind: st.Kind, statement: st, frames: frames})
+	s.run(exchange{kind: st.Kind, statement: st, frames: frames})
 	return true
 }
 
-// local answers statements that need no upstream; it reports whether it did.
-func (s *session) local(st classify.Statement, sql string) bool {
+// answerLocally answers a statement that needs no upstream. It returns false for
+// other statements.
+func (s *session) answerLocally(st classify.Statement, sql string) bool {
 	switch st.Kind {
 	case classify.Empty:
-		s.ready(encode(nil, &pgproto3.EmptyQueryResponse{}))
+		s.sendReady(encode(nil, &pgproto3.EmptyQueryResponse{}))
 	case classify.Pinning:
-		s.refuse(pinningRefusal(st))
+		s.sendError(pinningRefusal(st))
 	case classify.Set:
 		s.set(sql)
 	case classify.Show:
 		return s.show(st.Words, sql)
 	case classify.End:
-		s.ready(encode(nil, &pgproto3.CommandComplete{CommandTag: []byte("ROLLBACK")}))
+		s.sendReady(encode(nil, &pgproto3.CommandComplete{CommandTag: []byte("ROLLBACK")}))
 	default:
 		return false
 	}
@@ -91,16 +92,16 @@
 	return outcome.Refuse(outcome.Unsupported, "%s leaves state on the connection, which pooled connections do not keep", st.Words[0])
 }
 
-// inFailedTransaction answers a statement after the transaction's connection
-// was lost, as PostgreSQL does in a failed transaction block, so that nothing
-// of the block runs outside it.
-func (s *session) inFailedTransaction(kind classify.Kind) {
+// answerInFailedTransaction answers a statement after the transaction's upstream
+// connection was lost. Like PostgreSQL in a failed transaction block, it refuses
+// everything but the end of the transaction.
+func (s *session) answerInFailedTransaction(kind classify.Kind) {
 	if kind == classify.End {
 		s.status = txIdle
-		s.ready(encode(nil, &pgproto3.CommandComplete{CommandTag: []byte("ROLLBACK")}))
+		s.sendReady(encode(nil, &pgproto3.CommandComplete{CommandTag: []byte("ROLLBACK")}))
 		return
 	}
-	s.ready(encode(nil, &pgproto3.ErrorResponse{
+	s.sendReady(encode(nil, &pgproto3.ErrorResponse{
 		Severity: "ERROR", SeverityUnlocalized: "ERROR", Code: "25P02",
 		Message: "current transaction is aborted, commands ignored until end of transaction block",
 	}))
--- a/node/gateway/message.go
+++ b/node/gateway/message.go
@@ -8,7 +8,8 @@
 	"github.com/dotterelswitch/dotterelswitch/core/outcome"
 )
 
-// encode appends messages to buf. The messages built here always encode.
+// encode appends messages to buf. Encoding errors are ignored, because the
+// messages of this package always encode.
 func encode(buf []byte, messages ...pgproto3.BackendMessage) []byte {
 	for _, m := range messages {
 		if next, err := m.Encode(buf); err == nil {
@@ -18,8 +19,8 @@
 	return buf
 }
 
-// errorMessage turns a refusal into what the caller sees. The hint states
-// whether the request ran and when to come back.
+// errorMessage converts a refusal to an ErrorResponse. The hint states whether the
+// request ran and whether and when to retry.
 func errorMessage(r *outcome.Refusal, severity string) *pgproto3.ErrorResponse {
 	info := r.Code.Info()
 	hint := fmt.Sprintf("outcome=%s ran=%s retry=%t", info.Name, info.Ran, info.Retry)
--- a/node/gateway/session.go
+++ b/node/gateway/session.go
@@ -15,10 +15,10 @@
 	"github.com/dotterelswitch/dotterelswitch/core/token"
 )
 
-// maxInbox bounds the messages that wait on one session.
+// maxInbox bounds the queued messages of one session.
 const maxInbox = 4096
 
-// transaction statuses of ReadyForQuery.
+// Transaction statuses of ReadyForQuery.
 const (
 	txIdle   byte = 'I'
 	txOpen   byte = 'T'
@@ -34,54 +34,54 @@
 	pid     uint32
 	secret  uint32
 	started atomic.Bool
-	// credential proves for whom the caller acts; awaitsKey tells that it was asked
-	// for. They belong to the worker that runs the session.
-	credential catalog.Credential
-	awaitsKey  bool
-	ctx        context.Context
-	end        context.CancelFunc
-	framer     framer
+	// credential is the key given at login; awaitingPassword is set after it was
+	// requested. Only the running worker accesses them.
+	credential       catalog.Credential
+	awaitingPassword bool
+	ctx              context.Context
+	cancel           context.CancelFunc
+	framer           framer
 
 	// mu guards the fields below.
 	mu        sync.Mutex
 	inbox     []frame
 	scheduled bool
-	gone      bool
+	closed    bool
 	cancelRun context.CancelFunc
 
-	// The fields below belong to the worker that runs the session.
-	service  string
-	team     string
-	class    string
-	key      string
-	token    token.Token
-	timeout  time.Duration
-	status   byte
-	pin      *pin
-	prepared map[string]preparedStatement
-	batch    batch
+	// Only the running worker accesses the fields below.
+	service        string
+	team           string
+	class          string
+	idempotencyKey string
+	token          token.Token
+	timeout        time.Duration
+	status         byte
+	pinnedTx       *pinnedTransaction
+	prepared       map[string]preparedStatement
+	batch          batch
 	// teamCounted is guarded by Gateway.mu.
 	teamCounted bool
 }
 
-// pin is the place of an open transaction.
-type pin struct {
-	host        membership.Host
-	upstream    string
-	transaction uint64
+// pinnedTransaction identifies an open transaction and where it runs.
+type pinnedTransaction struct {
+	host     membership.Host
+	upstream string
+	id       uint64
 }
 
 func newSession(g *Gateway, c gnet.Conn) *session {
 	ctx, cancel := context.WithCancel(context.Background())
 	return &session{
 		gateway: g, conn: c, remote: c.RemoteAddr().String(), opened: time.Now(),
-		ctx: ctx, end: cancel, framer: framer{limit: g.cfg.MaxMessage},
+		ctx: ctx, cancel: cancel, framer: framer{limit: g.cfg.MaxMessage},
 		status: txIdle, timeout: g.cfg.StatementTimeout,
 		prepared: make(map[string]preparedStatement),
 	}
 }
 
-// receive takes bytes from the event loop and queues complete messages.
+// receive frames bytes from the event loop and queues the complete messages.
 func (s *session) receive(data []byte) *outcome.Refusal {
 	frames, refusal := s.framer.feed(data)
 	if refusal != nil {
@@ -100,8 +100,8 @@
 		return nil
 	}
 	s.scheduled = true
-	// Submit blocks while all workers are busy, so it must not run here on
-	// the event loop.
+	// Submit blocks while all workers are busy, which must not block the event
+	// loop.
 	if s.gateway.workers.Free() > 0 {
 		return submitRefusal(s.gateway.workers.Submit(s.work))
 	}
@@ -116,13 +116,13 @@
 	return outcome.Refuse(outcome.Draining, "%v", err)
 }
 
-// work handles queued messages until none is left.
+// work processes queued messages until none is left.
 func (s *session) work() {
-	s.gateway.busy.Add(1)
-	defer s.gateway.busy.Add(-1)
+	s.gateway.activeWorkers.Add(1)
+	defer s.gateway.activeWorkers.Add(-1)
 	for {
 		s.mu.Lock()
-		if len(s.inbox) == 0 || s.gone {
+		if len(s.inbox) == 0 || s.closed {
 			s.scheduled = false
 			s.mu.Unlock()
 			return
@@ -137,35 +137,34 @@
 	}
 }
 
-// finish ends a session from its worker.
+// finish closes the connection and ends the worker.
 func (s *session) finish() {
 	s.flushAndClose()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.gone, s.scheduled = true, false
+	s.closed, s.scheduled = true, false
 }
 
-// write sends bytes to the caller.
 func (s *session) write(buf []byte) { _ = s.conn.AsyncWrite(buf, nil) }
 
-// flushAndClose closes the connection after what was written before.
+// flushAndClose closes the connection once pending writes have been sent.
 func (s *session) flushAndClose() {
 	_ = s.conn.AsyncWrite(nil, func(c gnet.Conn, _ error) error { return c.Close() })
 }
 
-// closed releases what the session holds once the connection is gone.
-func (s *session) closed() {
+// onDisconnect cancels the running request and rolls back an open transaction.
+func (s *session) onDisconnect() {
 	s.mu.Lock()
-	s.gone = true
+	s.closed = true
 	s.mu.Unlock()
-	s.end()
-	go s.releasePin()
+	s.cancel()
+	go s.releasePinnedTx()
 }
 
-// releasePin rolls the open transaction back. It waits for a worker that
-// still runs a statement of it.
-func (s *session) releasePin() {
-	const poll = 5 * time.Millisecond
+// releasePinnedTx rolls back the open transaction, after the worker has finished
+// any statement in it.
+func (s *session) releasePinnedTx() {
+	const pollInterval = 5 * time.Millisecond
 	for {
 		s.mu.Lock()
 		running := s.scheduled
@@ -173,15 +172,15 @@
 		if !running {
 			break
 		}
-		time.Sleep(poll)
+		time.Sleep(pollInterval)
 	}
-	if s.pin != nil {
-		s.gateway.router.Release(s.pin.host, s.pin.upstream, s.pin.transaction)
-		s.pin = nil
+	if s.pinnedTx != nil {
+		s.gateway.router.Release(s.pinnedTx.host, s.pinnedTx.upstream, s.pinnedTx.id)
+		s.pinnedTx = nil
 	}
 }
 
-// cancelRequest ends the wait of the request in progress.
+// cancelRequest cancels the running request.
 func (s *session) cancelRequest() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -190,25 +189,25 @@
 	}
 }
 
-// closeIfIdle closes a session between requests and outside a transaction,
-// telling the caller that the host leaves.
+// closeIfIdle closes a session that has no pending message and no open
+// transaction, with an error that says that the host is stopping.
 func (s *session) closeIfIdle() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.scheduled || s.gone || len(s.inbox) > 0 || s.status != txIdle {
+	if s.scheduled || s.closed || len(s.inbox) > 0 || s.status != txIdle {
 		return
 	}
-	s.gone = true
+	s.closed = true
 	s.write(fatalMessage(outcome.Refuse(outcome.Draining, "the host is stopping")))
 	s.flushAndClose()
 }
 
-// ready sends what follows every answer: a changed token and ReadyForQuery.
-func (s *session) ready(buf []byte) {
+// sendReady sends buf followed by ReadyForQuery.
+func (s *session) sendReady(buf []byte) {
 	s.write(encode(buf, &pgproto3.ReadyForQuery{TxStatus: s.status}))
 }
 
-// refuse answers a request with an error.
-func (s *session) refuse(r *outcome.Refusal) {
-	s.ready(encode(nil, errorMessage(r, "ERROR")))
+// sendError answers a request with an error.
+func (s *session) sendError(r *outcome.Refusal) {
+	s.sendReady(encode(nil, errorMessage(r, "ERROR")))
 }
--- a/node/gateway/own_settings.go
+++ b/node/gateway/settings.go
@@ -13,28 +13,27 @@
 	"github.com/dotterelswitch/dotterelswitch/core/token"
 )
 
-// tokenParameter is the ParameterStatus that carries the session token out,
-// and the setting that takes it back.
+// tokenParameter is the ParameterStatus that reports the session token to the
+// caller, and the setting by which the caller restores it.
 const tokenParameter = settingPrefix + "token"
 
-// maxLabel bounds the length of a team's name.
-const maxLabel = 63
+const maxTeamNameBytes = 63
 
-// setOwn changes one of the session's own settings; name lacks the prefix.
-func (s *session) setOwn(name, value string) *outcome.Refusal {
+// setProxySetting changes a setting of the proxy; name lacks settingPrefix.
+func (s *session) setProxySetting(name, value string) *outcome.Refusal {
 	switch name {
 	case "token":
 		return s.setToken(value)
 	case "class":
 		return s.setClass(value)
 	case "idempotency_key":
-		return s.setKey(value)
+		return s.setIdempotencyKey(value)
 	case "team":
 		if s.started.Load() {
 			return outcome.Refuse(outcome.Unsupported, "the team is fixed at start-up")
 		}
-		if value == "" || len(value) > maxLabel {
-			return outcome.Refuse(outcome.ProtocolViolation, "team %q is not 1 to %d bytes long", value, maxLabel)
+		if value == "" || len(value) > maxTeamNameBytes {
+			return outcome.Refuse(outcome.ProtocolViolation, "team %q is not 1 to %d bytes long", value, maxTeamNameBytes)
 		}
 		s.team = value
 		return nil
@@ -43,7 +42,7 @@
 	}
 }
 
-// setToken moves the session forward to a token; it never moves it back.
+// setToken merges a token into the session's token. Positions only advance.
 func (s *session) setToken(text string) *outcome.Refusal {
 	given, err := token.Decode(text)
 	if err != nil {
@@ -69,22 +68,23 @@
 	return nil
 }
 
-// setKey sets the idempotency key of the next write.
-func (s *session) setKey(text string) *outcome.Refusal {
+// setIdempotencyKey sets the idempotency key of the next write.
+func (s *session) setIdempotencyKey(text string) *outcome.Refusal {
 	if text != "" {
 		if _, err := ledger.ParseKey(text); err != nil {
 			return outcome.Refuse(outcome.ProtocolViolation, "%v", err)
 		}
 	}
-	s.key = text
+	s.idempotencyKey = text
 	return nil
 }
 
 var setPattern = regexp.MustCompile(`(?is)^(?:\s|/\*.*?\*/)*SET\s+(?:SESSION\s+)?([a-z_][a-z0-9_.]*)\s*(?:=|\s+TO\s+)\s*(.*?)\s*;?\s*$`)
 
-// harmless are the settings that drivers send and that every upstream already
-// has; other session settings would be lost on a pooled connection.
-var harmless = map[string]string{
+// acceptedSettings are the settings that drivers commonly send, with the required
+// value, or empty for any value. Other session settings are refused, because they
+// would be lost on a pooled connection.
+var acceptedSettings = map[string]string{
 	"client_encoding": "utf8", "standard_conforming_strings": "on",
 	"application_name": "", "extra_float_digits": "", "datestyle": "", "intervalstyle": "",
 }
@@ -93,29 +93,29 @@
 func (s *session) set(sql string) {
 	m := setPattern.FindStringSubmatch(sql)
 	if m == nil {
-		s.refuse(outcome.Refuse(outcome.Unsupported, "only SET name = value is understood"))
+		s.sendError(outcome.Refuse(outcome.Unsupported, "only SET name = value is understood"))
 		return
 	}
 	name, value := strings.ToLower(m[1]), unquote(m[2])
 	var refusal *outcome.Refusal
-	if own, isOwn := strings.CutPrefix(name, settingPrefix); isOwn {
-		refusal = s.setOwn(own, value)
+	if setting, found := strings.CutPrefix(name, settingPrefix); found {
+		refusal = s.setProxySetting(setting, value)
 	} else {
-		refusal = s.setForeign(name, value)
+		refusal = s.setPostgresSetting(name, value)
 	}
 	if refusal != nil {
-		s.refuse(refusal)
+		s.sendError(refusal)
 		return
 	}
-	s.ready(encode(nil, &pgproto3.CommandComplete{CommandTag: []byte("SET")}))
+	s.sendReady(encode(nil, &pgproto3.CommandComplete{CommandTag: []byte("SET")}))
 }
 
-// setForeign handles PostgreSQL's own settings.
-func (s *session) setForeign(name, value string) *outcome.Refusal {
+// setPostgresSetting handles a SET of a PostgreSQL setting.
+func (s *session) setPostgresSetting(name, value string) *outcome.Refusal {
 	if name == "statement_timeout" {
 		return s.setTimeout(value)
 	}
-	want, known := harmless[name]
+	want, known := acceptedSettings[name]
 	if !known || (want != "" && !strings.EqualFold(strings.ReplaceAll(value, "-", ""), want)) {
 		return outcome.Refuse(outcome.Unsupported, "SET %s would be lost on a pooled connection; use SET LOCAL in a transaction", name)
 	}
@@ -145,23 +145,22 @@
 	return s
 }
 
-// show answers SHOW of the session's own settings; it reports whether the
-// name is one of them.
+// show answers SHOW of a proxy setting. It returns false for other settings.
 func (s *session) show(words []string, sql string) bool {
-	const size = 3
-	if len(words) != size || !strings.EqualFold(words[1]+".", settingPrefix) {
+	const wordCount = 3
+	if len(words) != wordCount || !strings.EqualFold(words[1]+".", settingPrefix) {
 		return false
 	}
 	values := map[string]string{
-		"TOKEN": s.token.Encode(), "CLASS": s.class, "IDEMPOTENCY_KEY": s.key,
+		"TOKEN": s.token.Encode(), "CLASS": s.class, "IDEMPOTENCY_KEY": s.idempotencyKey,
 		"TEAM": s.team, "SERVICE": s.service, "HOST": s.gateway.router.Sender(),
 	}
 	value, known := values[words[2]]
 	if !known {
-		s.refuse(outcome.Refuse(outcome.Unsupported, "there is no setting %s", strings.TrimSpace(sql)))
+		s.sendError(outcome.Refuse(outcome.Unsupported, "there is no setting %s", strings.TrimSpace(sql)))
 		return true
 	}
-	s.ready(encode(nil,
+	s.sendReady(encode(nil,
 		&pgproto3.RowDescription{Fields: []pgproto3.FieldDescription{{
 			Name: []byte(strings.ToLower(words[2])), DataTypeOID: 25, DataTypeSize: -1, TypeModifier: -1,
 		}}},
--- a/node/gateway/startup.go
+++ b/node/gateway/startup.go
@@ -11,11 +11,11 @@
 	"github.com/dotterelswitch/dotterelswitch/node/eventlog"
 )
 
-// settingPrefix begins the names of the settings that callers may set.
+// settingPrefix is the prefix of the names of the proxy's settings.
 const settingPrefix = "dotterelswitch."
 
-// passwordMessage is the type of a message with a key.
-const passwordMessage = 'p'
+// passwordMessageType is the type byte of PasswordMessage, which carries the key.
+const passwordMessageType = 'p'
 
 const (
 	sslRequestCode    = 80877103
@@ -24,10 +24,10 @@
 	protocolVersion3  = pgproto3.ProtocolVersion30
 )
 
-// startup handles the untyped messages that open a connection; it reports
-// whether the connection goes on.
+// startup handles the untyped messages that open a connection. It reports whether
+// the connection stays open.
 func (s *session) startup(body []byte) bool {
-	if len(body) < startupHeader {
+	if len(body) < startupHeaderSize {
 		s.write(fatalMessage(outcome.Refuse(outcome.ProtocolViolation, "start-up message of %d bytes", len(body))))
 		return false
 	}
@@ -36,7 +36,7 @@
 		s.write([]byte("N"))
 		return true
 	case cancelRequestCode:
-		s.cancelOther(body)
+		s.handleCancelRequest(body)
 		return false
 	case protocolVersion3:
 		return s.login(body)
@@ -46,51 +46,52 @@
 	}
 }
 
-func (s *session) cancelOther(body []byte) {
-	const size = 12
-	if len(body) == size {
+func (s *session) handleCancelRequest(body []byte) {
+	const bodySize = 12
+	if len(body) == bodySize {
 		s.gateway.cancel(binary.BigEndian.Uint32(body[4:]), binary.BigEndian.Uint32(body[8:]))
 	}
 }
 
-// login takes the start-up parameters and opens the session.
+// login applies the startup parameters and requests the key, or opens the session
+// if no key is required.
 func (s *session) login(body []byte) bool {
 	var msg pgproto3.StartupMessage
 	if err := msg.Decode(body); err != nil {
 		s.write(fatalMessage(outcome.Refuse(outcome.ProtocolViolation, "%v", err)))
 		return false
 	}
-	if refusal := s.takeParameters(msg.Parameters); refusal != nil {
+	if refusal := s.applyStartupParameters(msg.Parameters); refusal != nil {
 		eventlog.CallerRejected.Warn(s.gateway.cfg.Log).Str("remote", s.remote).Err(refusal).Send()
 		s.write(fatalMessage(refusal))
 		return false
 	}
 	if s.gateway.config().RequiresKeys() {
-		s.awaitsKey = true
+		s.awaitingPassword = true
 		s.write(encode(nil, &pgproto3.AuthenticationCleartextPassword{}))
 		return true
 	}
-	return s.admit()
+	return s.openSession()
 }
 
-// takeCredential takes the key that the caller was asked for.
-func (s *session) takeCredential(fr frame) bool {
+// handlePassword checks the key that was requested from the caller.
+func (s *session) handlePassword(fr frame) bool {
 	var msg pgproto3.PasswordMessage
-	if fr.kind != passwordMessage || msg.Decode(fr.body) != nil {
+	if fr.msgType != passwordMessageType || msg.Decode(fr.body) != nil {
 		s.write(fatalMessage(outcome.Refuse(outcome.ProtocolViolation, "a key was asked for")))
 		return false
 	}
-	s.awaitsKey = false
+	s.awaitingPassword = false
 	s.credential = catalog.NewCredential(msg.Password)
-	if !s.authorized() {
+	if !s.checkCredential() {
 		return false
 	}
-	return s.admit()
+	return s.openSession()
 }
 
-// authorized ends the session of a caller whose team does not hold its key, or does
-// not hold it any more.
-func (s *session) authorized() bool {
+// checkCredential reports whether the caller's key is valid for its team. If not,
+// it sends a fatal error.
+func (s *session) checkCredential() bool {
 	if s.gateway.config().Authorizes(s.team, s.credential) {
 		return true
 	}
@@ -100,20 +101,20 @@
 	return false
 }
 
-// admit opens the session, within the team's limit of connections.
-func (s *session) admit() bool {
-	if !s.gateway.countTeam(s) {
+// openSession opens the session unless the team's connection limit is reached.
+func (s *session) openSession() bool {
+	if !s.gateway.reserveTeamConnection(s) {
 		s.write(fatalMessage(outcome.Refuse(outcome.TooManyConnections, "team %s", s.team)))
 		return false
 	}
 	s.started.Store(true)
-	s.welcome()
+	s.sendWelcome()
 	return true
 }
 
-// takeParameters reads the session's service, team and settings. The
-// database names the service; the user is the team unless one is given.
-func (s *session) takeParameters(params map[string]string) *outcome.Refusal {
+// applyStartupParameters sets the session's service, team and settings. The
+// database names the service; the user names the team unless a setting does.
+func (s *session) applyStartupParameters(params map[string]string) *outcome.Refusal {
 	s.service, s.team = params["database"], params["user"]
 	if s.service == "" {
 		s.service = params["user"]
@@ -122,18 +123,18 @@
 		return outcome.Refuse(outcome.UnknownService, "%s", s.service)
 	}
 	for name, value := range params {
-		setting, own := strings.CutPrefix(name, settingPrefix)
-		if !own {
+		setting, found := strings.CutPrefix(name, settingPrefix)
+		if !found {
 			continue
 		}
-		if refusal := s.setOwn(setting, value); refusal != nil {
+		if refusal := s.setProxySetting(setting, value); refusal != nil {
 			return refusal
 		}
 	}
 	return nil
 }
 
-func (s *session) welcome() {
+func (s *session) sendWelcome() {
 	var key [4]byte
 	binary.BigEndian.PutUint32(key[:], s.secret)
 	buf := encode(nil,
@@ -146,5 +147,5 @@
 		&pgproto3.ParameterStatus{Name: tokenParameter, Value: s.token.Encode()},
 		&pgproto3.BackendKeyData{ProcessID: s.pid, SecretKey: key[:]},
 	)
-	s.ready(buf)
+	s.sendReady(buf)
 }
--- a/node/host/host.go
+++ b/node/host/host.go
@@ -240,7 +240,7 @@
 	s := h.opts.Settings
 	go func() { h.ended <- h.gateway.Run() }()
 	select {
-	case <-h.gateway.Booted():
+	case <-h.gateway.Listening():
 	case err := <-h.ended:
 		return err
 	}
--- a/node/onplatform/adapter.go
+++ b/node/onplatform/adapter.go
@@ -31,8 +31,8 @@
 	client := entry.HTTPClient()
 	return entry.Adapter{
 		Callers: platform.CallerProtocol{}, Members: platform.MemberProtocol{}, Documents: platform.Documents{RequireTeams: o.RequireTeams},
-		Store:     platform.NewStoreClient(o.Store, client, o.Timeout),
-		Promotion: platform.NewPromotionClient(o.Promotion, o.Host, client, min(o.Timeout, promotionTimeout)),
-		ReadyPath: platform.ReadyPath,
+		Store:         platform.NewStoreClient(o.Store, client, o.Timeout),
+		Promotion:     platform.NewPromotionClient(o.Promotion, o.Host, client, min(o.Timeout, promotionTimeout)),
+		ReadinessPath: platform.ReadyPath,
 	}
 }
--- a/node/owner/continue.go
+++ b/node/owner/continue.go
@@ -12,7 +12,7 @@
 
 // continueTransaction runs the next statement of an open transaction.
 func (o *Owner) continueTransaction(ctx context.Context, p *pool, req *request.Request) *request.Response {
-	tx, found := o.txns.claim(req.Transaction, req.Sender, p)
+	tx, found := o.txns.claim(req.TransactionID, req.Sender, p)
 	if !found {
 		return request.Refused(outcome.Refuse(outcome.TransactionLost, "upstream %s", req.Upstream))
 	}
@@ -32,11 +32,11 @@
 	}
 	resp := &request.Response{
 		Frames: answer.Frames, TxStatus: answer.TxStatus, Position: answer.Position,
-		Queue: started.Sub(arrived), Service: took,
+		QueueTime: started.Sub(arrived), ServiceTime: took,
 	}
 	if answer.TxStatus != 'I' {
 		o.txns.settle(tx, true)
-		resp.Transaction = tx.id
+		resp.TransactionID = tx.id
 		return resp
 	}
 	o.txns.settle(tx, false)
--- a/node/owner/execute.go
+++ b/node/owner/execute.go
@@ -36,19 +36,19 @@
 	if refusal != nil {
 		return request.Refused(refusal)
 	}
-	if req.Transaction != 0 {
+	if req.TransactionID != 0 {
 		return o.continueTransaction(ctx, p, req)
 	}
 	if !p.begin() {
 		return request.Refused(outcome.Refuse(outcome.Draining, "the pool of %s is being handed over", req.Upstream))
 	}
-	need := group.ReadRequirement{Token: req.Token, Staleness: req.Staleness, ArrivedAt: p.watcher.Now()}
+	need := group.ReadRequirement{Token: req.MinPosition, Staleness: req.MaxStaleness, ArrivedAt: p.watcher.Now()}
 	if refusal := o.eligible(ctx, p, req, need); refusal != nil {
 		p.finish()
 		return request.Refused(refusal)
 	}
 	resp := o.runNew(ctx, p, req, need)
-	if resp.Transaction == 0 {
+	if resp.TransactionID == 0 {
 		p.finish()
 	}
 	return resp
@@ -59,7 +59,7 @@
 	if o.leaving(p.spec.Name) {
 		return outcome.Refuse(outcome.Draining, "upstream %s is leaving", p.spec.Name)
 	}
-	if req.Write {
+	if req.NeedsPrimary {
 		return o.primaryNow(p)
 	}
 	verdict, primary := group.Unknown, false
@@ -69,7 +69,7 @@
 		primary = found && st.Member == p.spec.Name && !v.Failing(st.Member)
 		return verdict == group.Eligible || verdict == group.Ahead || (primary && verdict != group.Unknown)
 	}
-	bounded, cancel := context.WithTimeout(ctx, req.Wait)
+	bounded, cancel := context.WithTimeout(ctx, req.CatchUpWait)
 	defer cancel()
 	p.watcher.Inspect(func(v *group.View, now time.Duration) { judge(v, now) })
 	if verdict != group.Eligible && !primary {
@@ -131,9 +131,9 @@
 	if resp == nil {
 		resp = &request.Response{Frames: answer.Frames, TxStatus: answer.TxStatus, Position: answer.Position}
 	}
-	resp.Queue, resp.Service = started.Sub(arrived), took
+	resp.QueueTime, resp.ServiceTime = started.Sub(arrived), took
 	if answer.TxStatus != 0 && answer.TxStatus != 'I' {
-		resp.Transaction = o.txns.add(req.Sender, p, conn)
+		resp.TransactionID = o.txns.add(req.Sender, p, conn)
 		return resp
 	}
 	p.put(conn)
@@ -143,7 +143,7 @@
 // send runs the request on a connection; a keyed one goes through the ledger.
 // The response is set when the answer cannot be given as it is.
 func (o *Owner) send(ctx context.Context, p *pool, conn *upstream.Conn, req *request.Request) (upstream.Answer, *request.Response) {
-	if req.Key != "" {
+	if req.IdempotencyKey != "" {
 		return o.sendKeyed(ctx, conn, req)
 	}
 	answer, err := conn.Run(ctx, req.Frames)
@@ -185,13 +185,13 @@
 		// Nothing was read or committed: a description, or an error.
 		return resp
 	}
-	resp.ForkCrossed = o.forkCrossed(p, req.Token)
+	resp.ForkCrossed = o.forkCrossed(p, req.MinPosition)
 	if req.MayCommit {
 		resp = o.confirm(ctx, p, resp, answer)
 	} else {
 		resp = o.confirmRead(ctx, p, need, resp)
 	}
-	if resp.Refusal == nil && !req.MayCommit && o.aheadOf(p, req.Token, resp.Position) {
+	if resp.Refusal == nil && !req.MayCommit && o.aheadOf(p, req.MinPosition, resp.Position) {
 		return request.Refused(outcome.Refuse(outcome.TokenAhead, ""))
 	}
 	return resp
--- a/node/owner/keyed.go
+++ b/node/owner/keyed.go
@@ -20,7 +20,7 @@
 // sendKeyed runs a request in one transaction with its ledger row. When the
 // row exists the request has run, and its first answer is given again.
 func (o *Owner) sendKeyed(ctx context.Context, conn *upstream.Conn, req *request.Request) (upstream.Answer, *request.Response) {
-	key, err := ledger.ParseKey(req.Key)
+	key, err := ledger.ParseKey(req.IdempotencyKey)
 	if err != nil {
 		return upstream.Answer{}, request.Refused(outcome.Refuse(outcome.ProtocolViolation, "%v", err))
 	}
--- a/node/peer/convert.go
+++ b/node/peer/convert.go
@@ -19,35 +19,35 @@
 
 func requestToProto(r *request.Request) *peerpb.ExecuteRequest {
 	mode := peerpb.Mode_MODE_READ
-	if r.Write {
+	if r.NeedsPrimary {
 		mode = peerpb.Mode_MODE_WRITE
 	}
 	return &peerpb.ExecuteRequest{
 		RequestId: r.ID, Sender: r.Sender, Service: r.Service, Upstream: r.Upstream,
 		Team: r.Team, Class: r.Class, Mode: mode,
 		DeadlineUs: time.Until(r.Deadline).Microseconds(),
-		Frames:     r.Frames, Token: positionToProto(r.Token),
-		StalenessUs: r.Staleness.Microseconds(), Transaction: r.Transaction,
-		Key: r.Key, WaitUs: r.Wait.Microseconds(), MayCommit: r.MayCommit,
+		Frames:     r.Frames, Token: positionToProto(r.MinPosition),
+		StalenessUs: r.MaxStaleness.Microseconds(), Transaction: r.TransactionID,
+		Key: r.IdempotencyKey, WaitUs: r.CatchUpWait.Microseconds(), MayCommit: r.MayCommit,
 	}
 }
 
 func requestFromProto(m *peerpb.ExecuteRequest) *request.Request {
 	return &request.Request{
 		ID: m.GetRequestId(), Sender: m.GetSender(), Service: m.GetService(), Upstream: m.GetUpstream(),
-		Team: m.GetTeam(), Class: m.GetClass(), Write: m.GetMode() == peerpb.Mode_MODE_WRITE,
+		Team: m.GetTeam(), Class: m.GetClass(), NeedsPrimary: m.GetMode() == peerpb.Mode_MODE_WRITE,
 		Deadline: time.Now().Add(microseconds(m.GetDeadlineUs())),
-		Frames:   m.GetFrames(), Token: positionFromProto(m.GetToken()),
-		Staleness: microseconds(m.GetStalenessUs()), Transaction: m.GetTransaction(),
-		Key: m.GetKey(), Wait: microseconds(m.GetWaitUs()), MayCommit: m.GetMayCommit(),
+		Frames:   m.GetFrames(), MinPosition: positionFromProto(m.GetToken()),
+		MaxStaleness: microseconds(m.GetStalenessUs()), TransactionID: m.GetTransaction(),
+		IdempotencyKey: m.GetKey(), CatchUpWait: microseconds(m.GetWaitUs()), MayCommit: m.GetMayCommit(),
 	}
 }
 
 func responseToProto(r *request.Response) *peerpb.ExecuteResponse {
 	m := &peerpb.ExecuteResponse{
 		Frames: r.Frames, TxStatus: uint32(r.TxStatus), Position: positionToProto(r.Position),
-		Transaction: r.Transaction, ForkCrossed: r.ForkCrossed, Hint: hintToProto(r.Hint),
-		QueueUs: r.Queue.Microseconds(), ServiceUs: r.Service.Microseconds(),
+		Transaction: r.TransactionID, ForkCrossed: r.ForkCrossed, Hint: hintToProto(r.Hint),
+		QueueUs: r.QueueTime.Microseconds(), ServiceUs: r.ServiceTime.Microseconds(),
 	}
 	if r.Refusal != nil {
 		m.Refusal = uint32(r.Refusal.Code)
@@ -60,8 +60,8 @@
 func responseFromProto(m *peerpb.ExecuteResponse) *request.Response {
 	r := &request.Response{
 		Frames: m.GetFrames(), TxStatus: byte(m.GetTxStatus()), Position: positionFromProto(m.GetPosition()),
-		Transaction: m.GetTransaction(), ForkCrossed: m.GetForkCrossed(), Hint: hintFromProto(m.GetHint()),
-		Queue: microseconds(m.GetQueueUs()), Service: microseconds(m.GetServiceUs()),
+		TransactionID: m.GetTransaction(), ForkCrossed: m.GetForkCrossed(), Hint: hintFromProto(m.GetHint()),
+		QueueTime: microseconds(m.GetQueueUs()), ServiceTime: microseconds(m.GetServiceUs()),
 	}
 	if m.GetRefusal() != 0 {
 		r.Refusal = &outcome.Refusal{
--- a/node/pgframe/frame_test.go
+++ b/node/pgframe/frame_test.go
@@ -20,7 +20,7 @@
 	require.False(t, ok)
 	require.Len(t, rest, 3)
 	_, _, ok = pgframe.Next([]byte{'D', 0, 0, 0, 3, 0, 0})
-	require.False(t, ok, "a length below its own field")
+	require.False(t, ok, "length smaller than the length field")
 	_, _, ok = pgframe.Next([]byte{'D', 0, 0, 0, 9, 0, 0})
-	require.False(t, ok, "a message that is cut short")
+	require.False(t, ok, "truncated message")
 }
--- a/node/platformdemo/demo.go
+++ b/node/platformdemo/demo.go
@@ -153,10 +153,10 @@
 	zone := []string{"zone-a", "zone-b", "zone-c"}[i%3]
 	s := entry.Settings{
 		Host: fmt.Sprintf("host-%d", i+1), Places: replicaset.Places{Zone: zone},
-		MaxSessions: maxSessions, Workers: workers, Grace: grace, DrainBound: 2 * grace,
-		Quota: tolerance,
+		MaxSessions: maxSessions, Workers: workers, GracePeriod: grace, DrainBound: 2 * grace,
+		QuotaTolerance: tolerance,
 	}
-	for _, address := range []*string{&s.CallerAddress, &s.ReadyAddress, &s.PeerAddress} {
+	for _, address := range []*string{&s.CallerAddress, &s.ReadinessAddress, &s.PeerAddress} {
 		free, err := loopback.FreeAddress()
 		if err != nil {
 			return s, err
--- a/node/request/request.go
+++ b/node/request/request.go
@@ -1,5 +1,5 @@
-// Package request holds the messages between the parts of a host that route a
-// caller's request and the part, here or on another host, that runs it.
+// Package request defines the messages between the router and the host, local
+// or remote, that executes a request on an upstream.
 package request
 
 import (
@@ -12,67 +12,69 @@
 
 // Request is one exchange with an upstream.
 type Request struct {
-	// ID is unique among the requests of one Sender.
+	// ID is unique for each Sender.
 	ID       uint64
 	Sender   string
 	Service  string
 	Upstream string
 	Team     string
 	Class    string
-	// Write asks for the primary.
-	Write bool
-	// MayCommit reports whether the request can have an effect that lasts. Only
-	// then does a lost answer leave the outcome unknown.
+	// NeedsPrimary restricts execution to the primary.
+	NeedsPrimary bool
+	// MayCommit reports whether the request can commit a change. Only then does
+	// a lost response leave the outcome unknown.
 	MayCommit bool
 	Deadline  time.Time
-	// Frames are the caller's messages, ending in one Query or Sync.
+	// Frames are the caller's protocol messages, ending in one Query or Sync.
 	Frames []byte
-	// Token is the position that the session has seen in this service.
-	Token     logpos.Position
-	Staleness time.Duration
-	// Transaction names a transaction that an earlier response opened on the
-	// same upstream; zero for none.
-	Transaction uint64
-	// Key is the idempotency key; empty for none.
-	Key string
-	// Wait bounds the wait for a replica to catch up.
-	Wait time.Duration
+	// MinPosition is the log position that the session has observed in this
+	// service; the read must include it.
+	MinPosition  logpos.Position
+	MaxStaleness time.Duration
+	// TransactionID identifies a transaction that an earlier response opened on
+	// the same upstream; zero for none.
+	TransactionID uint64
+	// IdempotencyKey is empty for none.
+	IdempotencyKey string
+	// CatchUpWait bounds the wait for a replica to reach MinPosition.
+	CatchUpWait time.Duration
 }
 
 // Response is the outcome of a Request.
 type Response struct {
-	// Frames are the upstream's messages without ReadyForQuery.
+	// Frames are the upstream's protocol messages without ReadyForQuery.
 	Frames   []byte
 	TxStatus byte
 	Position logpos.Position
-	// Transaction is set while a transaction is open.
-	Transaction uint64
+	// TransactionID is non-zero while a transaction is open.
+	TransactionID uint64
 	// Refusal is set when there are no frames.
 	Refusal *outcome.Refusal
-	// ForkCrossed reports that entries which the session had seen were
-	// abandoned by a change of primary.
+	// ForkCrossed reports that a failover discarded log entries that the session
+	// had observed.
 	ForkCrossed bool
 	Hint        Hint
-	// Queue and Service are the times spent waiting for and using a slot.
-	Queue, Service time.Duration
-	// Host and Upstream are where the request ran; the router fills them in.
+	// QueueTime and ServiceTime are the times spent waiting for a slot and using
+	// it.
+	QueueTime, ServiceTime time.Duration
+	// Host and Upstream are where the request ran; the router sets them.
 	Host     membership.Host
 	Upstream string
 }
 
-// Hint is what the responder knows of the group.
+// Hint is the responder's view of the replication group.
 type Hint struct {
 	Primary string
 	Term    logpos.Term
 	Members []MemberHint
 }
 
-// MemberHint is what the responder knows of one member.
+// MemberHint is the responder's view of one member.
 type MemberHint struct {
 	Name    string
 	Applied logpos.Position
 	Age     time.Duration
 }
 
-// Refused returns a response with only a refusal.
+// Refused returns a response that carries only a refusal.
 func Refused(r *outcome.Refusal) *Response { return &Response{Refusal: r} }
--- a/node/router/router.go
+++ b/node/router/router.go
@@ -1,5 +1,5 @@
-// Package router takes a caller's request to the host that owns the right
-// member, here or elsewhere, and tries again where that is safe.
+// Package router sends a caller's request to the host, local or remote, that
+// owns a suitable member, and retries where that is safe.
 package router
 
 import (
@@ -22,73 +22,72 @@
 	"github.com/dotterelswitch/dotterelswitch/node/request"
 )
 
-// Limits and delays of routing.
 const (
-	// maxWaitingWrites bounds the writes of one service that wait for a
-	// primary on one host.
+	// maxWaitingWrites bounds the requests of one service on one host that wait
+	// for a primary.
 	maxWaitingWrites = 2048
-	// retryRatio and retryReserve feed the budget of retries after a request
-	// that may have cost an upstream something.
+	// retryRatio and retryReserve define the budget for retries of requests that
+	// may have run on an upstream.
 	retryRatio   = 0.1
 	retryReserve = 100
 )
 
-// redirect spaces the attempts of a request that was refused before it ran.
-var redirect = retry.Backoff{Base: 4 * time.Millisecond, Max: 60 * time.Millisecond}
+// redirectBackoff delays retries of requests that were refused before they ran.
+var redirectBackoff = retry.Backoff{Base: 4 * time.Millisecond, Max: 60 * time.Millisecond}
 
-// Fleet tells the router about other hosts and the configuration.
+// Fleet provides the cluster membership and the configuration.
 type Fleet interface {
-	// Placement says which hosts own what.
+	// Placement returns the assignment of members to hosts.
 	Placement() *membership.Placement
-	// CallFailed notes that a call to a host had no answer, or was refused by
-	// the host's machine.
+	// CallFailed records that a call to a host failed. refused is true if the
+	// connection was refused.
 	CallFailed(h membership.Host, refused bool)
-	// Config returns the configuration in force.
+	// Config returns the active configuration.
 	Config() *conf.Config
 }
 
 // Router routes the requests of one host. It is safe for concurrent use.
 type Router struct {
-	self   membership.Host
-	sender string
-	fleet  Fleet
-	owner  *owner.Owner
-	peers  *peer.Client
-	log    zerolog.Logger
-	origin time.Time
-	nextID atomic.Uint64
-
-	// mu guards the fields below and is never held while calling out.
-	mu      sync.Mutex
-	rng     *rand.Rand
-	budget  *retry.Budget
-	tables  map[string]*serviceTable
-	version uint64
+	self      membership.Host
+	sender    string
+	fleet     Fleet
+	owner     *owner.Owner
+	peers     *peer.Client
+	log       zerolog.Logger
+	startedAt time.Time
+	nextID    atomic.Uint64
+
+	// mu guards the fields below and is not held during calls to other components.
+	mu            sync.Mutex
+	rng           *rand.Rand
+	budget        *retry.Budget
+	tables        map[string]*serviceTable
+	tablesVersion uint64
 }
 
 // serviceTable is the routing table of one service.
 type serviceTable struct {
-	table   *route.Table
-	waiting int
+	table         *route.Table
+	waitingWrites int
 }
 
-// New returns a router. Sender names this incarnation of the host.
+// New returns a router. sender identifies this incarnation of the host.
 func New(self membership.Host, sender string, fleet Fleet, o *owner.Owner, peers *peer.Client, log zerolog.Logger) *Router {
 	return &Router{
 		self: self, sender: sender, fleet: fleet, owner: o, peers: peers, log: log,
-		origin: time.Now(),
-		rng:    rand.New(rand.NewPCG(membership.Score("router", self.ID), self.Incarnation)),
-		budget: retry.NewBudget(retryRatio, retryReserve),
-		tables: make(map[string]*serviceTable),
+		startedAt: time.Now(),
+		rng:       rand.New(rand.NewPCG(membership.Score("router", self.ID), self.Incarnation)),
+		budget:    retry.NewBudget(retryRatio, retryReserve),
+		tables:    make(map[string]*serviceTable),
 	}
 }
 
-func (r *Router) now() time.Duration { return time.Since(r.origin) }
+func (r *Router) now() time.Duration { return time.Since(r.startedAt) }
 
-// Sender returns the name under which this host's requests are known.
+// Sender returns the identifier that this host's requests carry.
 func (r *Router) Sender() string { return r.sender }
 
-// Do runs a request that is not part of an open transaction.
+// Do executes a request that is not part of an open transaction.
 func (r *Router) Do(ctx context.Context, req *request.Request) *request.Response {
 	cfg := r.fleet.Config()
 	svc, found := cfg.Service(req.Service)
@@ -99,37 +98,37 @@
 	r.budget.RecordAttempt()
 	r.mu.Unlock()
 	st := r.table(cfg, svc)
-	if req.Write {
+	if req.NeedsPrimary {
 		return r.doPrimary(ctx, svc, st, req)
 	}
 	return r.doRead(ctx, svc, st, req)
 }
 
-// doPrimary sends a request to the primary, waiting for one if need be.
+// doPrimary sends a request to the primary and retries while there is none.
 func (r *Router) doPrimary(ctx context.Context, svc conf.Service, st *serviceTable, req *request.Request) *request.Response {
-	if !r.startWaiting(st) {
+	if !r.beginWait(st) {
 		return request.Refused(outcome.Refuse(outcome.QueueFull, "too many requests wait for the primary of %s", svc.Name).WithRetryAfter(time.Second))
 	}
-	defer r.endWaiting(st)
+	defer r.endWait(st)
 	var last *outcome.Refusal
 	for attempt := 0; ; attempt++ {
 		r.mu.Lock()
 		member := st.table.WriteTarget(attempt, r.now())
 		r.mu.Unlock()
-		resp := r.try(ctx, svc, st, member, req)
-		if resp.Refusal == nil || !r.mayRepeat(req, resp.Refusal) {
-			r.noteWrite(st, resp)
+		resp := r.attempt(ctx, svc, st, member, req)
+		if resp.Refusal == nil || !r.mayRetry(req, resp.Refusal) {
+			r.recordWriteServed(st, resp)
 			return resp
 		}
 		last = resp.Refusal
-		if r.hopeless(st, attempt) || !r.pause(ctx, attempt, req.Deadline) {
-			return request.Refused(exhausted(last))
+		if r.recordWriteRefused(st, attempt) || !r.backOff(ctx, attempt, req.Deadline) {
+			return request.Refused(deadlineRefusal(last))
 		}
 	}
 }
 
-// noteWrite records that the service has a primary.
-func (r *Router) noteWrite(st *serviceTable, resp *request.Response) {
+// recordWriteServed records that the primary served a request, if it did.
+func (r *Router) recordWriteServed(st *serviceTable, resp *request.Response) {
 	if resp.Refusal != nil {
 		return
 	}
@@ -138,95 +137,97 @@
 	st.table.RecordWriteServed()
 }
 
-// hopeless reports whether the service has been without a primary for so long
-// that a write is answered at once rather than held.
-func (r *Router) hopeless(st *serviceTable, attempt int) bool {
+// recordWriteRefused records a refused write. It reports whether the service has
+// had no primary for so long that writes no longer wait for one.
+func (r *Router) recordWriteRefused(st *serviceTable, attempt int) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return st.table.RecordWriteRefused(attempt, r.now())
 }
 
-// exhausted is the refusal of a request whose deadline came while it was being
-// redirected.
-func exhausted(last *outcome.Refusal) *outcome.Refusal {
+// deadlineRefusal returns the refusal of a request that found no member before
+// its deadline.
+func deadlineRefusal(last *outcome.Refusal) *outcome.Refusal {
 	if last.Code == outcome.WrongMember {
 		return outcome.Refuse(outcome.NoPrimary, "%s", last.Detail).WithRetryAfter(time.Second)
 	}
 	return last
 }
 
-// doRead tries the members in order of cost, then again after a pause.
+// doRead tries the candidates in order of cost and repeats this after a backoff.
 func (r *Router) doRead(ctx context.Context, svc conf.Service, st *serviceTable, req *request.Request) *request.Response {
 	for attempt := 0; ; attempt++ {
 		r.mu.Lock()
-		choices := st.table.ReadCandidates(r.now(), req.Staleness == 0)
+		candidates := st.table.ReadCandidates(r.now(), req.MaxStaleness == 0)
 		r.mu.Unlock()
 		last := outcome.Refuse(outcome.NoPrimary, "service %s has no upstream that takes work", svc.Name)
-		for _, c := range choices {
-			req.Wait = c.Wait
-			resp := r.try(ctx, svc, st, c.Upstream, req)
-			if resp.Refusal == nil || !r.mayRepeat(req, resp.Refusal) {
+		for _, c := range candidates {
+			req.CatchUpWait = c.Wait
+			resp := r.attempt(ctx, svc, st, c.Upstream, req)
+			if resp.Refusal == nil || !r.mayRetry(req, resp.Refusal) {
 				return resp
 			}
 			last = resp.Refusal
 		}
-		if !r.pause(ctx, attempt, req.Deadline) {
-			return request.Refused(exhausted(last))
+		if !r.backOff(ctx, attempt, req.Deadline) {
+			return request.Refused(deadlineRefusal(last))
 		}
 	}
 }
 
-// mayRepeat reports whether the request may go to another member or again: it
-// has not run, or a repeat is idempotent.
-func (r *Router) mayRepeat(req *request.Request, refusal *outcome.Refusal) bool {
+// mayRetry reports whether the request may be sent again, possibly to another
+// member: it has not run, or it is idempotent.
+func (r *Router) mayRetry(req *request.Request, refusal *outcome.Refusal) bool {
 	switch refusal.Code {
 	case outcome.WrongMember, outcome.Draining, outcome.BehindToken, outcome.TooStale:
 		return true
 	case outcome.UnknownOutcome:
-		return req.Key != "" && r.takeRetry()
+		return req.IdempotencyKey != "" && r.tryRetryBudget()
 	default:
 		return false
 	}
 }
 
-func (r *Router) takeRetry() bool {
+func (r *Router) tryRetryBudget() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.budget.TryRetry()
 }
 
-// pause waits before the next round; it fails when the deadline would pass.
-func (r *Router) pause(ctx context.Context, attempt int, deadline time.Time) bool {
+// backOff waits before the next attempt. It returns false if the deadline would
+// pass first.
+func (r *Router) backOff(ctx context.Context, attempt int, deadline time.Time) bool {
 	r.mu.Lock()
-	wait := redirect.Delay(attempt, r.rng)
+	delay := redirectBackoff.Delay(attempt, r.rng)
 	r.mu.Unlock()
-	if time.Until(deadline) <= wait {
+	if time.Until(deadline) <= delay {
 		return false
 	}
-	return clock.Sleep(ctx, wait)
+	return clock.Sleep(ctx, delay)
 }
 
-func (r *Router) startWaiting(st *serviceTable) bool {
+func (r *Router) beginWait(st *serviceTable) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if st.waiting >= maxWaitingWrites {
+	if st.waitingWrites >= maxWaitingWrites {
 		return false
 	}
-	st.waiting++
+	st.waitingWrites++
 	return true
 }
 
-func (r *Router) endWaiting(st *serviceTable) {
+func (r *Router) endWait(st *serviceTable) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	st.waiting--
+	st.waitingWrites--
 }
 
-// try sends the request to one member's owner and notes what that teaches.
-func (r *Router) try(ctx context.Context, svc conf.Service, st *serviceTable, member string, req *request.Request) *request.Response {
+// attempt sends the request to one member's owner and updates the routing table
+// with the result.
+func (r *Router) attempt(ctx context.Context, svc conf.Service, st *serviceTable, member string, req *request.Request) *request.Response {
 	started := time.Now()
-	attempt := *req
-	resp := r.Send(ctx, svc, member, &attempt)
+	sent := *req
+	resp := r.Send(ctx, svc, member, &sent)
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	st.table.UpdatePrimary(resp.Hint.Primary, resp.Hint.Term)
--- a/node/router/send.go
+++ b/node/router/send.go
@@ -13,7 +13,7 @@
 	"github.com/dotterelswitch/dotterelswitch/node/upstream"
 )
 
-// Send passes one request to the owner of a member and gives its answer.
+// Send executes one request through the host that owns a member.
 func (r *Router) Send(ctx context.Context, svc conf.Service, member string, req *request.Request) *request.Response {
 	up, found := svc.Upstream(member)
 	if !found {
@@ -24,14 +24,14 @@
 		return request.Refused(outcome.Refuse(outcome.WrongMember, "no host serves"))
 	}
 	if host.State == membership.Suspect {
-		// What is sent now could get lost, and a write would then have no
-		// known outcome. The suspicion ends soon, one way or the other.
+		// A write sent to a suspect host could end with an unknown outcome;
+		// refuse it until the host is confirmed alive or dead.
 		return request.Refused(outcome.Refuse(outcome.WrongMember, "host %s does not answer", host.ID))
 	}
 	return r.SendTo(ctx, host, member, req)
 }
 
-// SendTo passes one request to a host.
+// SendTo executes one request on a host.
 func (r *Router) SendTo(ctx context.Context, host membership.Host, member string, req *request.Request) *request.Response {
 	req.Upstream, req.Sender, req.ID = member, r.sender, r.nextID.Add(1)
 	if host.ID == r.self.ID {
@@ -52,27 +52,28 @@
 	return request.Refused(r.callRefusal(err, req))
 }
 
-// cancelTimeout bounds the delivery of a cancellation to another host.
+// cancelTimeout bounds the call that cancels a request on another host.
 const cancelTimeout = time.Second
 
-// cancel stops a request that another host runs for a caller that cancelled.
+// cancel cancels a request on another host.
 func (r *Router) cancel(host membership.Host, id uint64) {
-	ctx, done := context.WithTimeout(context.Background(), cancelTimeout)
-	defer done()
+	ctx, stop := context.WithTimeout(context.Background(), cancelTimeout)
+	defer stop()
 	_ = r.peers.Cancel(ctx, host.Peer, r.sender, id)
 }
 
-// callRefusal tells what is known of a request whose call failed.
+// callRefusal returns the refusal for a failed call. The outcome is unknown if
+// the request was sent and may commit.
 func (r *Router) callRefusal(err error, req *request.Request) *outcome.Refusal {
-	var call *peer.CallError
-	sent := !errors.As(err, &call) || call.Sent
+	var callErr *peer.CallError
+	sent := !errors.As(err, &callErr) || callErr.Sent
 	if sent && req.MayCommit {
 		return outcome.Refuse(outcome.UnknownOutcome, "%v", err)
 	}
 	return outcome.Refuse(outcome.WrongMember, "%v", err)
 }
 
-// Release ends a transaction whose caller is gone.
+// Release ends a transaction whose caller has disconnected.
 func (r *Router) Release(host membership.Host, member string, transaction uint64) {
 	if host.ID == r.self.ID {
 		r.owner.Release(r.sender, transaction)
--- a/node/router/table.go
+++ b/node/router/table.go
@@ -5,13 +5,13 @@
 	"github.com/dotterelswitch/dotterelswitch/core/route"
 )
 
-// table returns the routing table of a service, made anew when the
-// configuration has changed.
+// table returns the routing table of a service. It first updates all tables if
+// the configuration version has changed.
 func (r *Router) table(cfg *conf.Config, svc conf.Service) *serviceTable {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if cfg.Version != r.version {
-		r.version = cfg.Version
+	if cfg.Version != r.tablesVersion {
+		r.tablesVersion = cfg.Version
 		for name, st := range r.tables {
 			if s, found := cfg.Service(name); found {
 				st.table.SetMembers(r.members(cfg, s))
