--- a/node/edge/query.go
+++ b/node/edge/query.go
@@ -46,7 +46,7 @@
 	if found && !s.authorize(c, route) && st.Kind != statement.Rollback {
 		return replicaset.Outcome{Answer: s.failPossibleCommit(st, statement.ErrorAnswer(statement.Unauthorized, "no team holds this session's key any more", statement.Idle))}
 	}
-	if answer, local := s.session.AnswerLocally(st); local {
+	if answer, answered := s.session.AnswerLocally(st); answered {
 		if st.Kind == statement.Rollback && s.session.State == statement.Idle {
 			s.rollbackTx()
 		}
@@ -167,8 +167,8 @@
 func (s *caller) runInTransaction(set *replicaset.Set, w replicaset.Work) replicaset.Outcome {
 	out := replicaset.Outcome{}
 	if s.tx == nil {
-		tx, begun := set.Begin(s.ctx, w)
-		out = begun
+		tx, beginOutcome := set.Begin(s.ctx, w)
+		out = beginOutcome
 		if tx == nil {
 			out.Answer = s.failPossibleCommit(w.Statement, out.Answer)
 			return out
--- a/node/entry/dial.go
+++ b/node/entry/dial.go
@@ -11,19 +11,19 @@
 	"golang.org/x/sys/unix"
 )
 
-// An open connection can go silent for good. Keep-alive probes find that on
-// one that waits, the user timeout on one that sends.
+// Keep-alive probes detect a dead peer on an idle connection; the TCP user timeout
+// detects one while data is unacknowledged.
 const (
 	keepAliveIdle     = time.Second
 	keepAliveInterval = time.Second
 	keepAliveCount    = 2
-	// userTimeout bounds how long sent bytes may go without acknowledgement.
+	// userTimeout bounds how long sent data may stay unacknowledged.
 	userTimeout = 2500 * time.Millisecond
-	// dialTimeout bounds a connection.
+	// dialTimeout bounds connection establishment.
 	dialTimeout = time.Second
 )
 
-// Dial opens a connection that notices when its peer is gone.
+// Dial opens a TCP connection that detects a dead peer.
 func Dial(ctx context.Context, network, address string) (net.Conn, error) {
 	d := net.Dialer{
 		Timeout: dialTimeout,
@@ -36,18 +36,18 @@
 }
 
 func setUserTimeout(_, _ string, c syscall.RawConn) error {
-	var inner error
+	var sockErr error
 	err := c.Control(func(fd uintptr) {
-		inner = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(userTimeout.Milliseconds()))
+		sockErr = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(userTimeout.Milliseconds()))
 	})
-	return errors.Join(err, inner)
+	return errors.Join(err, sockErr)
 }
 
-// maxIdlePerServer bounds idle connections to the platform: one for the watch
+// maxIdleConnsPerHost bounds idle connections to the platform: one for the watch
 // and a few for other calls.
 const maxIdleConnsPerHost = 4
 
-// HTTPClient returns a client for calls to the platform over Dial.
+// HTTPClient returns a client for calls to the platform. It connects with Dial.
 func HTTPClient() *http.Client {
 	return &http.Client{Transport: &http.Transport{
 		DialContext: Dial, MaxIdleConnsPerHost: maxIdleConnsPerHost, DisableCompression: true,
--- a/node/entry/entry.go
+++ b/node/entry/entry.go
@@ -1,6 +1,6 @@
-// Package entry assembles an entry host in front of a platform that keeps the
-// configuration, the members' entries and the order of promotions: the gateway
-// for callers, one replica set a service, and one promoter for each.
+// Package entry assembles an entry host: the gateway for callers, and a replica
+// set and a promoter for each service. A platform stores the configuration and the
+// members' entries and carries out promotions.
 package entry
 
 import (
@@ -33,40 +33,39 @@
 	"github.com/dotterelswitch/dotterelswitch/node/replicaset"
 )
 
-// Adapter is the way to one platform.
+// Adapter holds the protocols and clients of one platform.
 type Adapter struct {
 	Callers   edge.Protocol
 	Members   replicaset.Protocol
 	Store     registry.Store
 	Documents registry.Documents
 	Promotion promoter.Caller
-	// ReadyPath is where the platform asks whether the host takes callers.
+	// ReadinessPath is the path of the readiness check.
 	ReadinessPath string
 }
 
-// Settings are what a host is told when it starts.
+// Settings are the start parameters of a host.
 type Settings struct {
 	Host             string
 	Places           replicaset.Places
 	CallerAddress    string
 	ReadinessAddress string
-	// MetricsAddress serves the metrics and shows the host to operators; empty
-	// for neither.
+	// MetricsAddress serves metrics and the inspection API; empty for neither.
 	MetricsAddress string
-	// PeerAddress is where other hosts send datagrams.
+	// PeerAddress is the address, UDP and TCP, for other hosts.
 	PeerAddress string
 	MaxSessions int
 	Workers     int
-	// Grace is the time from the signal to stop until the process is killed.
+	// GracePeriod is the time from the stop signal until the process is killed.
 	GracePeriod time.Duration
-	// DrainBound is the latest time after a member's notice at which it may be
-	// sent new work.
+	// DrainBound bounds the time during which a member that has announced its
+	// drain may still be sent new work.
 	DrainBound time.Duration
-	// ConfigBound is how soon a change of the configuration must be in force.
+	// ConfigBound is the time within which a configuration change must be active.
 	ConfigBound time.Duration
-	// Quota is how exactly the teams' limits are to be kept.
+	// QuotaTolerance is by how much teams may exceed their limits.
 	QuotaTolerance quota.Tolerance
-	// Without is what the host is run without.
+	// Disabled lists the mechanisms that are switched off.
 	Disabled mechanism.Disabled
 }
 
@@ -89,31 +88,30 @@
 	peers    *gossip.Transport
 	gates    *peer.GateClient
 	limiter  *limits.Limiter
-	// looks are shared by all groups of the host.
+	// livenessProbes deduplicates concurrent liveness checks of one address.
 	livenessProbes singleflight.Group
-	// startedAt is when the host started.
-	startedAt time.Duration
-	// owner names this host and its incarnation to gates.
+	startedAt      time.Duration
+	// owner identifies this host and its incarnation to gates.
 	owner    string
 	stopping atomic.Bool
-	// jobs counts what other hosts have running here.
+	// remoteJobs counts the running jobs of other hosts.
 	remoteJobs    atomic.Int64
 	reconcileWake chan struct{}
 	failed        chan error
-	// fleet is the hosts that the sets were last told of, and starting judges
-	// whether they are known well enough; fleetKnown tells that they are. They
-	// belong to reconcile.
+	// fleet is the list of hosts last passed to the sets. fleetStability decides
+	// whether a starting host has a stable view of the fleet, and fleetWasStable
+	// records that it had. Only reconcile accesses these fields.
 	fleet          gates.Fleet
 	fleetStability startup.FleetStability
 	fleetWasStable bool
 
-	// mu guards sets and promoters, both by service.
+	// mu guards sets and promoters, which are keyed by service.
 	mu        sync.RWMutex
 	sets      map[string]*replicaset.Set
 	promoters map[string]*promoter.Promoter
 }
 
-// Start runs a host. It returns once the listeners accept.
+// Start starts a host. It returns once the listeners accept connections.
 func Start(s Settings, a Adapter, dial replicaset.DialFunc, log zerolog.Logger) (*Host, error) {
 	h := &Host{
 		settings: s, adapter: a, dial: dial, log: log.With().Str("host", s.Host).Logger(),
@@ -154,7 +152,7 @@
 	return h, h.startGateway()
 }
 
-// poke has the sets brought in step with the registry.
+// wakeReconcile triggers an update of the sets from the registry.
 func (h *Host) wakeReconcile() {
 	select {
 	case h.reconcileWake <- struct{}{}:
@@ -184,7 +182,7 @@
 	return nil
 }
 
-// headerTimeout bounds how long the platform may take for its headers.
+// readHeaderTimeout bounds the time to read the headers of a request.
 const readHeaderTimeout = 5 * time.Second
 
 func (h *Host) listen() error {
@@ -200,10 +198,10 @@
 	if h.settings.MetricsAddress == "" {
 		return nil
 	}
-	text := http.NewServeMux()
-	text.Handle("GET /metrics", h.metrics.handler())
-	text.Handle(inspect.Handler(h))
-	return h.serve(h.settings.MetricsAddress, text)
+	metricsMux := http.NewServeMux()
+	metricsMux.Handle("GET /metrics", h.metrics.handler())
+	metricsMux.Handle(inspect.Handler(h))
+	return h.serve(h.settings.MetricsAddress, metricsMux)
 }
 
 func (h *Host) serve(address string, handler http.Handler) error {
@@ -215,7 +213,7 @@
 	if err != nil {
 		return err
 	}
-	// Streams to other hosts end when this one does.
+	// Cancelling h.ctx ends streams to other hosts.
 	s.BaseContext = func(net.Listener) context.Context { return h.ctx }
 	h.servers = append(h.servers, s)
 	go func() {
@@ -226,8 +224,8 @@
 	return nil
 }
 
-// Ready reports whether the host takes callers: it has a configuration, knows
-// members, and is not about to stop.
+// Ready reports whether the host accepts callers: it has a configuration, knows at
+// least one member and is not stopping.
 func (h *Host) Ready() bool {
 	return !h.stopping.Load() && h.registry.Catalog() != nil && h.hasMembers()
 }
@@ -246,14 +244,14 @@
 // Catalog implements edge.Backend.
 func (h *Host) Catalog() *catalog.Catalog { return h.registry.Catalog() }
 
-// Set returns the group of a service, or nil while none is known.
+// Set returns the replica set of a service, or nil if none is known.
 func (h *Host) Set(service string) *replicaset.Set {
 	h.mu.RLock()
 	defer h.mu.RUnlock()
 	return h.sets[service]
 }
 
-// reconcile keeps the sets in step with the registry.
+// reconcile updates the sets from the registry whenever it is woken.
 func (h *Host) reconcile(ctx context.Context) {
 	for {
 		select {
@@ -281,7 +279,8 @@
 	}
 }
 
-// ensureSet returns the set of a service and starts it if it is new.
+// ensureSet returns the set of a service. It creates and starts the set and its
+// promoter if there is none.
 func (h *Host) ensureSet(ctx context.Context, service string) *replicaset.Set {
 	if s := h.Set(service); s != nil {
 		return s
@@ -306,22 +305,23 @@
 	return s
 }
 
-// promoter returns the promoter of a service, or nil while there is none.
+// promoter returns the promoter of a service, or nil if there is none.
 func (h *Host) promoter(service string) *promoter.Promoter {
 	h.mu.RLock()
 	defer h.mu.RUnlock()
 	return h.promoters[service]
 }
 
-// unusedSlack is how much longer than its caller may rest a transaction is
-// kept for another host, which ends it itself if it lives.
+// remoteTxSlack is added to the idle timeout for transactions of other hosts, which
+// normally end them themselves.
 const remoteTxSlack = 2 * time.Second
 
-// idleCheck is how often transactions that rest for too long are looked for.
+// idleCheckInterval is how often the host checks for transactions that exceed the
+// idle timeout.
 const idleCheckInterval = 500 * time.Millisecond
 
-// endIdleTransactions ends the transactions that rest longer than the
-// configuration allows.
+// abortIdleTransactions rolls back transactions that exceed the configured idle
+// timeout, until ctx is done.
 func (h *Host) abortIdleTransactions(ctx context.Context) {
 	clock.Every(ctx, idleCheckInterval, func() {
 		c := h.registry.Catalog()
@@ -336,12 +336,12 @@
 	})
 }
 
-// Failed reports the error that ended a listener by itself.
+// Failed returns a channel that receives the error of a failed listener.
 func (h *Host) Failed() <-chan error { return h.failed }
 
-// Followers returns how many hosts hear of the platform through this one.
+// Followers returns the number of hosts that use this one as their relay.
 func (h *Host) Followers() int { return h.registry.Followers() }
 
-// Known returns how many hosts this one knows to be registered, itself
-// included.
+// KnownHosts returns the number of registered hosts known to this one, including
+// itself.
 func (h *Host) KnownHosts() int { return len(h.registry.Hosts()) }
--- a/node/entry/failures_test.go
+++ b/node/entry/failures_test.go
@@ -14,8 +14,8 @@
 	"github.com/dotterelswitch/dotterelswitch/standin/lineplatform"
 )
 
-// TestCrashedPrimaryIsReplaced: every acknowledged write is kept once, and
-// writes go on.
+// TestCrashedPrimaryIsReplaced: each acknowledged write is committed exactly once,
+// and writes resume.
 func TestCrashedPrimaryIsReplaced(t *testing.T) {
 	d := deploy(t, 3, options())
 	var clients []*client
@@ -35,7 +35,7 @@
 				require.Equal(t, 1, d.group.Committed(res.id))
 			}
 			if linecaller.Promised(res.code) {
-				require.Zero(t, d.group.Committed(res.id), "%s is a promise", res.code)
+				require.Zero(t, d.group.Committed(res.id), "%s promises that nothing was committed", res.code)
 			}
 			return res.code == ""
 		}, waitLimit, pollInterval)
@@ -43,8 +43,8 @@
 	require.NotEqual(t, old.ID, d.group.Primary().ID)
 }
 
-// TestMinoritySuspicionDoesNotPromote: one host of three cannot
-// reach the primary; the others' acknowledged writes must survive.
+// TestMinoritySuspicionDoesNotPromote: one host of three suspects the primary, which
+// must not be replaced.
 func TestMinoritySuspicionDoesNotPromote(t *testing.T) {
 	d := deploy(t, 3, options())
 	primary := d.group.Primary()
@@ -54,7 +54,8 @@
 	require.Equal(t, primary.ID, d.group.Primary().ID)
 }
 
-// TestPrimaryDrainKeepsAcknowledgedWrites: writes run while the primary leaves.
+// TestPrimaryDrainKeepsAcknowledgedWrites guards against the loss of acknowledged
+// writes while the primary drains.
 func TestPrimaryDrainKeepsAcknowledgedWrites(t *testing.T) {
 	d := deploy(t, 2, options())
 	old := d.group.Primary()
@@ -75,12 +76,13 @@
 	reader := d.connect(0, "strict")
 	for range 2 {
 		for _, id := range <-done {
-			require.Equal(t, []string{"x"}, reader.must("FETCH "+id).rows, "an acknowledged write is gone")
+			require.Equal(t, []string{"x"}, reader.must("FETCH "+id).rows, "acknowledged write lost")
 		}
 	}
 }
 
-// writeUntil writes items of their own and returns those acknowledged.
+// writeUntil writes distinct items until stop is closed and returns the
+// acknowledged ones.
 func writeUntil(c *client, stop chan struct{}) []string {
 	var acknowledged []string
 	for n := 0; ; n++ {
@@ -100,9 +102,8 @@
 	}
 }
 
-// TestBoundedReadUsesFloorFromPeer replays the return
-// of all hosts after a power loss: the dead connections still fill the
-// primary, one host got what was left, and reads must not wait for it.
+// TestBoundedReadUsesFloorFromPeer: a host gets no connection to the primary because
+// its limit is used up. Bounded reads must use another host's floor.
 func TestBoundedReadUsesFloorFromPeer(t *testing.T) {
 	o := options()
 	o.MaxConnections = 4
@@ -115,26 +116,26 @@
 	require.Equal(t, []string{"x"}, d.connect(1, "bounded").must("FETCH item").rows)
 }
 
-// keepFloorFresh has a session write until the test ends.
+// keepFloorFresh writes periodically through a session until the test ends.
 func keepFloorFresh(t *testing.T, c *client) {
-	stop, ended := make(chan struct{}), make(chan struct{})
+	stop, done := make(chan struct{}), make(chan struct{})
 	go func() {
-		defer close(ended)
+		defer close(done)
 		for {
 			select {
 			case <-stop:
 				return
 			case <-time.After(100 * time.Millisecond):
 			}
-			if _, err := c.try("STORE beat x"); err != nil {
+			if _, err := c.try("STORE heartbeat x"); err != nil {
 				return
 			}
 		}
 	}()
-	t.Cleanup(func() { close(stop); <-ended })
+	t.Cleanup(func() { close(stop); <-done })
 }
 
-// occupyConnections takes the connections of a member that are left.
+// occupyConnections opens limit connections to a member, to use up the free ones.
 func occupyConnections(t *testing.T, m *lineplatform.Member, limit int) {
 	t.Helper()
 	for range limit {
@@ -148,19 +149,18 @@
 	}
 }
 
-// TestCompactedWatchLearnsOfConfigChange: a store that drops its history leaves waiting
-// watches without news.
+// TestCompactedWatchLearnsOfConfigChange guards against a watch that blocks for its
+// full timeout after the store has compacted the change it waits for.
 func TestCompactedWatchLearnsOfConfigChange(t *testing.T) {
 	d := deploy(t, 1, options())
 	d.platform.Store.Deafen(true)
-	began := time.Now()
+	startedAt := time.Now()
 	version := d.platform.Configure(routes(7*time.Second), timeout)
 	d.platform.Store.Compact()
 	d.platform.Store.Deafen(false)
 	require.Eventually(t, func() bool { return d.hosts[0].Catalog().Version == version }, waitLimit, pollInterval)
-	// The shortest bound of a deployment is 3 s; a watch that waits for all of
-	// its 30 s would be far beyond any slowness of the machine.
-	require.Less(t, time.Since(began), 15*time.Second)
+	// Well below the watch timeout of 30 s, with room for a slow machine.
+	require.Less(t, time.Since(startedAt), 15*time.Second)
 }
 
 func TestServesDuringStoreOutage(t *testing.T) {
@@ -180,8 +180,8 @@
 	}
 }
 
-// TestExpiredMemberEntriesDoNotInterruptService: entries lapse while the store is
-// away, and are back soon after.
+// TestExpiredMemberEntriesDoNotInterruptService: the members' entries expire and are
+// registered again; writes must succeed throughout.
 func TestExpiredMemberEntriesDoNotInterruptService(t *testing.T) {
 	d := deploy(t, 1, options())
 	c := d.connect(0, "own")
@@ -200,8 +200,8 @@
 	c.must("STORE item z")
 }
 
-// TestStopAnswersRunningStatements: sessions that are idle are closed, and what runs is
-// answered.
+// TestStopAnswersRunningStatements: a graceful stop closes idle sessions and answers
+// running statements.
 func TestStopAnswersRunningStatements(t *testing.T) {
 	d := deploy(t, 1, options())
 	idle, busy := d.connect(0, "own"), d.connect(0, "own")
@@ -212,7 +212,7 @@
 	for {
 		res, err := busy.try("STORE item x")
 		if err != nil {
-			require.Zero(t, d.group.Committed(res.id), "a statement that ran got no answer")
+			require.Zero(t, d.group.Committed(res.id), "a committed statement was not answered")
 			break
 		}
 		require.Empty(t, res.code)
@@ -223,21 +223,20 @@
 	require.Error(t, idle.session.AwaitClose())
 }
 
-// TestHostCutOffFromStoreLearnsConfigFromPeers: the store turns one host
-// away for longer than any bound and serves the other.
+// TestHostCutOffFromStoreLearnsConfigFromPeers: one host has no connection to the
+// store and must receive configuration changes from the other.
 func TestHostCutOffFromStoreLearnsConfigFromPeers(t *testing.T) {
 	d := deploy(t, 1, options())
 	d.addHostsBehindProxies(1)
-	cut := d.hosts[1]
+	isolated := d.hosts[1]
 	d.proxies[1].Close()
 	version := d.platform.Configure(routes(7*time.Second), timeout)
-	require.Eventually(t, func() bool { return cut.Catalog().Version == version }, waitLimit, pollInterval)
+	require.Eventually(t, func() bool { return isolated.Catalog().Version == version }, waitLimit, pollInterval)
 	d.connect(1, "own").must("STORE item x")
 }
 
-// TestWritesAreRefusedImmediatelyInLongPrimaryOutage: with the store away nothing can
-// replace a dead primary. Statements are held while a promotion could still
-// come, and refused at once after that.
+// TestWritesAreRefusedImmediatelyInLongPrimaryOutage: without the store no promotion
+// is possible. Writes wait while one may still happen, then are refused immediately.
 func TestWritesAreRefusedImmediatelyInLongPrimaryOutage(t *testing.T) {
 	d := deploy(t, 1, options())
 	c := d.connect(0, "strict")
@@ -246,16 +245,16 @@
 	d.group.Primary().Crash()
 	var res result
 	require.Eventually(t, func() bool {
-		began := time.Now()
+		startedAt := time.Now()
 		res = c.do("STORE item y")
-		return res.code == "BUSY" && time.Since(began) < time.Second
+		return res.code == "BUSY" && time.Since(startedAt) < time.Second
 	}, 2*waitLimit, pollInterval)
 	require.Contains(t, res.detail, "retry after")
 	require.Zero(t, d.group.Committed(res.id))
 }
 
-// TestStoppingHostCompletesRemoteTransactions: a host that keeps connections stops
-// while transactions of other hosts are open on them.
+// TestStoppingHostCompletesRemoteTransactions: a host stops while other hosts have
+// open transactions on its connections, which must still commit.
 func TestStoppingHostCompletesRemoteTransactions(t *testing.T) {
 	for stopped := range 3 {
 		t.Run(fmt.Sprintf("host %d", stopped), func(t *testing.T) {
@@ -270,8 +269,8 @@
 				c.must("STORE before x")
 				clients = append(clients, c)
 			}
-			ended := make(chan bool, 1)
-			go func() { ended <- d.hosts[stopped].Stop() }()
+			clean := make(chan bool, 1)
+			go func() { clean <- d.hosts[stopped].Stop() }()
 			require.Eventually(t, func() bool { return !d.hosts[stopped].Ready() }, waitLimit, pollInterval)
 			time.Sleep(time.Second)
 			for _, c := range clients {
@@ -279,7 +278,7 @@
 				c.must("COMMIT")
 				require.Equal(t, 1, d.group.Committed(w.id))
 			}
-			require.True(t, <-ended)
+			require.True(t, <-clean)
 		})
 	}
 }
--- a/node/entry/forwarding_test.go
+++ b/node/entry/forwarding_test.go
@@ -13,24 +13,23 @@
 )
 
 // refusingDialer refuses connections to one address.
-type refusingDialer struct{ address atomic.Pointer[string] }
+type refusingDialer struct{ refused atomic.Pointer[string] }
 
 func (c *refusingDialer) dial(ctx context.Context, network, address string) (net.Conn, error) {
-	if cut := c.address.Load(); cut != nil && *cut == address {
+	if refused := c.refused.Load(); refused != nil && *refused == address {
 		return nil, &net.OpError{Op: "dial", Net: network, Err: syscall.ECONNREFUSED}
 	}
 	return entry.Dial(ctx, network, address)
 }
 
-// TestWritesAreForwardedWhenPrimaryIsUnreachable: one host of three is cut
-// off from the primary. That is too few to replace it, and its callers are served
-// all the same.
+// TestWritesAreForwardedWhenPrimaryIsUnreachable: one host of three cannot reach the
+// primary. The primary is not replaced, and the host's callers are still served.
 func TestWritesAreForwardedWhenPrimaryIsUnreachable(t *testing.T) {
 	d := deploy(t, 2, options())
-	var cut refusingDialer
+	var dialer refusingDialer
 	address := d.group.Primary().Advertised()
-	cut.address.Store(&address)
-	d.dial = cut.dial
+	dialer.refused.Store(&address)
+	d.dial = dialer.dial
 	d.addHost()
 	for _, h := range d.hosts {
 		require.Eventually(t, func() bool { return h.KnownHosts() == 3 }, waitLimit, pollInterval)
@@ -58,5 +57,5 @@
 		c.must("COMMIT")
 		require.Equal(t, 1, d.group.Committed(w.id))
 	}
-	require.Equal(t, primary.ID, d.group.Primary().ID, "the others reach it")
+	require.Equal(t, primary.ID, d.group.Primary().ID, "the other hosts reach the primary")
 }
--- a/node/entry/helpers_test.go
+++ b/node/entry/helpers_test.go
@@ -21,8 +21,8 @@
 )
 
 const (
-	// waitLimit bounds waits for something that must come; it is generous, so
-	// that a busy machine changes no verdict.
+	// waitLimit bounds waits for expected conditions. It is generous to avoid
+	// failures on a busy machine.
 	waitLimit    = 20 * time.Second
 	pollInterval = 5 * time.Millisecond
 	// timeout is the routes' statement timeout in these tests.
@@ -36,13 +36,12 @@
 	group    *lineplatform.Group
 	hosts    []*entry.Host
 	settings []entry.Settings
-	// proxies are the ways to the store of hosts that have one of their own, by
-	// the number of the host.
+	// proxies holds the store proxies of the hosts that have one, by host index.
 	proxies map[int]*faultproxy.Proxy
-	// dial is what hosts that are started next connect with.
+	// dial is used by the hosts that are started next.
 	dial replicaset.DialFunc
-	// tolerance is how exactly hosts that are started next keep the teams' limits,
-	// and logWriter where they write; nil for the test's log.
+	// tolerance and logWriter apply to the hosts that are started next. A nil
+	// logWriter selects the test's log.
 	tolerance quota.Tolerance
 	logWriter io.Writer
 }
@@ -63,7 +62,7 @@
 	return []lineplatform.Route{primary, bounded, own}
 }
 
-// deploy starts a platform and hosts and waits until the hosts are ready.
+// deploy starts a platform and hosts, and waits until the hosts know each other.
 func deploy(t *testing.T, hosts int, o lineplatform.Options) *deployment {
 	t.Helper()
 	d := deployPlatform(t, o)
@@ -88,8 +87,8 @@
 	return &deployment{t: t, platform: p, group: g, dial: entry.Dial}
 }
 
-// setLatencyTarget has the statements of all routes aim at a latency target and end after a
-// timeout, and waits until that is in force.
+// setLatencyTarget configures the target latency and statement timeout of all routes
+// and waits until the configuration is active.
 func (d *deployment) setLatencyTarget(target, statementTimeout time.Duration) {
 	d.t.Helper()
 	changed := routes(statementTimeout)
@@ -100,7 +99,7 @@
 	require.Eventually(d.t, func() bool { return d.hosts[0].Catalog().Version == version }, waitLimit, pollInterval)
 }
 
-// free returns a loopback address that nothing else takes.
+// freeAddress returns an unused loopback address.
 func freeAddress(t *testing.T) string {
 	t.Helper()
 	address, err := loopback.FreeAddress()
@@ -113,7 +112,7 @@
 	return d.addHostWithStore(d.platform.Address())
 }
 
-// addHostsBehindProxies starts hosts with a way to the store of their own.
+// addHostsBehindProxies starts hosts that reach the store through a proxy each.
 func (d *deployment) addHostsBehindProxies(count int) {
 	d.t.Helper()
 	d.proxies = map[int]*faultproxy.Proxy{}
@@ -135,7 +134,8 @@
 	return h
 }
 
-// startHost starts a host that reaches the store at an address.
+// startHost starts a host that reaches the store at an address. It does not wait
+// until the host is ready.
 func (d *deployment) startHost(store string) *entry.Host {
 	d.t.Helper()
 	name := fmt.Sprintf("host-%d", len(d.hosts)+1)
@@ -154,8 +154,7 @@
 	return h
 }
 
-// logs writes the hosts' lines to the test's log, which is shown on failure, unless
-// the test wants them elsewhere.
+// logOutput returns the destination of the hosts' logs.
 func (d *deployment) logOutput() io.Writer {
 	if d.logWriter != nil {
 		return d.logWriter
@@ -170,7 +169,7 @@
 	name    string
 }
 
-// sessions makes the ids of all clients unique.
+// sessions numbers the clients so that their IDs are unique.
 var sessions atomic.Int64
 
 // connect opens a session on a database through a host.
@@ -195,7 +194,7 @@
 	rows                               []string
 }
 
-// do runs a statement that must be answered.
+// do runs a statement and requires an answer.
 func (c *client) do(text string) result {
 	c.t.Helper()
 	res, err := c.try(text)
@@ -208,7 +207,7 @@
 	return result{id: a.ID, code: a.Code, detail: a.Detail, signature: a.Signature, state: a.State, rows: a.Rows}, err
 }
 
-// must runs a statement that must succeed.
+// must runs a statement and requires success.
 func (c *client) must(text string) result {
 	c.t.Helper()
 	res := c.do(text)
--- a/node/entry/idle_transaction_test.go
+++ b/node/entry/idle_transaction_test.go
@@ -9,35 +9,34 @@
 	"github.com/dotterelswitch/dotterelswitch/core/connpool"
 )
 
-// TestIdleTransactionsYieldConnections replays callers that begin a
-// transaction, write, and rest for longer than others can wait: ten seconds
-// here, both the limit of a rest and the statements' timeout.
+// TestIdleTransactionsYieldConnections guards against idle transactions that occupy
+// all connections until other statements time out.
 func TestIdleTransactionsYieldConnections(t *testing.T) {
 	o := options()
 	o.MaxConnections = 4
 	d := deploy(t, 1, o)
-	// The hosts leave one connection for probes.
-	var resting []*client
+	// One connection is reserved for probes.
+	var idle []*client
 	for range o.MaxConnections - 1 {
 		c := d.connect(0, "strict")
 		c.must("BEGIN")
 		c.must("STORE item held")
-		resting = append(resting, c)
+		idle = append(idle, c)
 	}
 	time.Sleep(connpool.MaxIdleInTransaction + 100*time.Millisecond)
-	began := time.Now()
+	startedAt := time.Now()
 	d.connect(0, "strict").must("STORE item x")
-	require.Less(t, time.Since(began), timeout/2, "it does not wait until the rests are over")
-	ended := 0
-	for _, c := range resting {
+	require.Less(t, time.Since(startedAt), timeout/2, "the write waited for the idle timeout")
+	aborted := 0
+	for _, c := range idle {
 		switch res := c.do("COMMIT"); res.code {
 		case "":
 		case "ABORTED":
-			ended++
+			aborted++
 			require.Zero(t, d.group.Committed(res.id))
 		default:
 			t.Fatalf("a commit was answered with %s", res.code)
 		}
 	}
-	require.Equal(t, 1, ended, "no more than were needed")
+	require.Equal(t, 1, aborted, "only one connection was needed")
 }
--- a/node/entry/limits.go
+++ b/node/entry/limits.go
@@ -22,7 +22,7 @@
 // RefundOperation implements edge.Backend.
 func (h *Host) RefundOperation(team catalog.Team) { h.limiter.Refund(team) }
 
-// limitOf returns the limit of a team in the newest configuration.
+// limitOf returns the limit of a team in the active configuration.
 func (h *Host) limitOf(team string) (quota.Limit, bool) {
 	c := h.registry.Catalog()
 	if c == nil {
@@ -32,18 +32,18 @@
 	return t.Limit, found
 }
 
-// requestGrant asks a host that counts a team to grant operations.
+// requestGrant requests operations from a host that counts a team's usage.
 func (h *Host) requestGrant(ctx context.Context, address, team string, wanted int) (quota.Grant, bool) {
 	h.traffic.add(trafficQuota)
 	answer, err := h.peers.Probe(ctx, address, gossip.Message{QuotaRequest: &gossip.QuotaRequest{Team: team, Operations: wanted}})
 	if err != nil || answer.Grant == nil {
-		h.log.Debug().Err(err).Str("peer", address).Str("team", team).Msg("a request for a grant had no answer")
+		h.log.Debug().Err(err).Str("peer", address).Str("team", team).Msg("quota grant request failed")
 		return quota.Grant{}, false
 	}
 	return *answer.Grant, true
 }
 
-// setFleet takes the hosts that are registered. It belongs to reconcile.
+// setFleet updates the fleet and the limiter's hosts. Only reconcile calls it.
 func (h *Host) setFleet(f gates.Fleet) {
 	if f.Generation() == h.fleet.Generation() {
 		return
--- a/node/entry/liveness.go
+++ b/node/entry/liveness.go
@@ -11,33 +11,32 @@
 )
 
 const (
-	// aliveTime bounds the wait for one sign of life: a round trip between the regions
-	// that are furthest apart, 40 ms, and a busy host's turn.
+	// livenessTimeout bounds the wait for one answer. It covers the longest round
+	// trip between regions and the response time of a busy host.
 	livenessTimeout = 100 * time.Millisecond
-	// aliveTries is how often it is asked for, because datagrams get lost.
+	// livenessAttempts is more than one because datagrams can be lost.
 	livenessAttempts = 2
 )
 
 // remote runs jobs on other hosts. It implements replicaset.Remote.
 type remote struct {
 	*peer.GateClient
-	// ctx bounds what goes on when a caller has left.
+	// ctx is the host's context: probes are shared and outlive a single caller.
 	ctx       context.Context
 	datagrams *gossip.Transport
 	traffic   *trafficCounts
-	// looks are the questions for a sign of life that are under way, by address.
+	// livenessProbes deduplicates concurrent probes by address.
 	livenessProbes *singleflight.Group
 }
 
-// remote returns the way to other hosts.
+// remote returns the host's replicaset.Remote.
 func (h *Host) remote() remote {
 	return remote{GateClient: h.gates, ctx: h.ctx, datagrams: h.peers, traffic: h.traffic, livenessProbes: &h.livenessProbes}
 }
 
-// Alive implements replicaset.Remote. Load pattern: the fleet is cut in two, or
-// members are overloaded, and all statements that wait on a host for longer than
-// usual ask whether it lives: 4,000 datagrams a second from 295 hosts. Those that
-// ask at the same time share one question.
+// Alive implements replicaset.Remote. Concurrent calls for one address share a
+// probe, so that in a partition or overload the statements that wait for a host do
+// not flood it.
 func (r remote) Alive(_ context.Context, address string) bool {
 	alive, _, _ := r.livenessProbes.Do(address, func() (any, error) { return r.probe(address), nil })
 	return alive == true
--- a/node/entry/liveness_test.go
+++ b/node/entry/liveness_test.go
@@ -11,15 +11,15 @@
 	"github.com/dotterelswitch/dotterelswitch/node/gossip"
 )
 
-// TestConcurrentLivenessChecksShareProbes replays a gate that falls silent with
-// many statements under way: they ask for one sign of life, not for one each.
+// TestConcurrentLivenessChecksShareProbes guards against one probe per waiting
+// statement when a gate stops answering.
 func TestConcurrentLivenessChecksShareProbes(t *testing.T) {
-	own, err := net.ListenPacket("udp", "127.0.0.1:0")
+	local, err := net.ListenPacket("udp", "127.0.0.1:0")
 	require.NoError(t, err)
 	silent, err := net.ListenPacket("udp", "127.0.0.1:0")
 	require.NoError(t, err)
 	defer func() { _ = silent.Close() }()
-	datagrams := gossip.NewTransport(own, datagramKey, func(m gossip.Message) gossip.Message { return m })
+	datagrams := gossip.NewTransport(local, datagramKey, func(m gossip.Message) gossip.Message { return m })
 	defer datagrams.Close()
 	r := remote{ctx: t.Context(), datagrams: datagrams, traffic: newTrafficCounts(), livenessProbes: &singleflight.Group{}}
 	const statements = 100
@@ -27,7 +27,7 @@
 	for range statements {
 		waiting.Go(func() {
 			if r.Alive(t.Context(), silent.LocalAddr().String()) {
-				t.Error("a silent host counts as alive")
+				t.Error("a silent host is reported as alive")
 			}
 		})
 	}
--- a/node/entry/lock_holder_test.go
+++ b/node/entry/lock_holder_test.go
@@ -13,17 +13,18 @@
 
 const groupLock = "dotterelswitch/locks/svc"
 
-// holder returns the host that holds the group's lock, and the lock's revision.
+// lockHolder returns the index of the host that holds the group's lock, and the
+// lock's revision.
 func (d *deployment) lockHolder() (int, uint64) {
 	d.t.Helper()
 	name, revision := d.platform.Store.Get(groupLock)
-	at := slices.IndexFunc(d.settings, func(s entry.Settings) bool { return s.Host == string(name) })
-	require.GreaterOrEqual(d.t, at, 0, "nobody holds the lock")
-	return at, revision
+	index := slices.IndexFunc(d.settings, func(s entry.Settings) bool { return s.Host == string(name) })
+	require.GreaterOrEqual(d.t, index, 0, "no host holds the lock")
+	return index, revision
 }
 
-// requireFailover has callers of some hosts write until that succeeds, and checks that
-// another member leads then.
+// requireFailover waits until writes succeed through the given hosts and requires
+// that another member is the primary.
 func (d *deployment) requireFailover(old *lineplatform.Member, hosts ...int) {
 	d.t.Helper()
 	for _, host := range hosts {
@@ -32,8 +33,8 @@
 	require.NotEqual(d.t, old.ID, d.group.Primary().ID)
 }
 
-// TestLockHolderPromotesWithExistingToken: no call to the store is needed
-// between the loss of a primary and its replacement.
+// TestLockHolderPromotesWithExistingToken: the host that holds the lock replaces the
+// primary without acquiring the lock again.
 func TestLockHolderPromotesWithExistingToken(t *testing.T) {
 	d := deploy(t, 3, options())
 	d.awaitWrites()
@@ -43,10 +44,11 @@
 	old.Crash()
 	d.requireFailover(old, 0, 1, 2)
 	_, after := d.lockHolder()
-	require.Equal(t, before, after, "the lock was taken anew")
+	require.Equal(t, before, after, "the lock was acquired again")
 }
 
-// TestLockHolderAndPrimaryLostTogether: another host takes the lock.
+// TestLockHolderAndPrimaryLostTogether: another host acquires the lock and replaces
+// the primary.
 func TestLockHolderAndPrimaryLostTogether(t *testing.T) {
 	d := deploy(t, 4, options())
 	d.awaitWrites()
@@ -60,9 +62,9 @@
 	require.NotEqual(t, lost, next)
 }
 
-// TestFailoverWithSilentStoreIsPrompt replays a store that goes silent just before a
-// primary is lost: the hosts believe that they reach it, and what a new primary
-// says of its log is a position of the term before until it has written.
+// TestFailoverWithSilentStoreIsPrompt: the store goes silent just before the primary
+// is lost. The hosts must find the new primary although the store still seems
+// reachable and the new primary reports a position of the previous term.
 func TestFailoverWithSilentStoreIsPrompt(t *testing.T) {
 	d := deploy(t, 3, options())
 	d.awaitWrites()
@@ -70,7 +72,7 @@
 	d.platform.Store.Fail(lineplatform.Silent)
 	old := d.group.Primary()
 	old.Crash()
-	began := time.Now()
+	startedAt := time.Now()
 	d.requireFailover(old, 0, 1, 2)
-	require.Less(t, time.Since(began), 15*time.Second, "the store was silent all the while")
+	require.Less(t, time.Since(startedAt), 15*time.Second, "failover must not wait for the store")
 }
--- a/node/entry/metrics.go
+++ b/node/entry/metrics.go
@@ -14,21 +14,21 @@
 )
 
 const (
-	// maxTeams bounds the teams, or databases, that have labels of their own.
+	// maxTeamLabels bounds the number of distinct team or database labels.
 	maxTeamLabels = 50
-	// gaugeInterval is how often gauges are brought up to date.
+	// gaugeInterval is how often gauges are updated.
 	gaugeInterval = 2 * time.Second
 )
 
-// hostMetrics turns what a host does into metrics.
+// hostMetrics records the metrics of a host.
 type hostMetrics struct{ metrics *metrics.Metrics }
 
 func newHostMetrics() *hostMetrics { return &hostMetrics{metrics: metrics.New(maxTeamLabels)} }
 
 func (m *hostMetrics) handler() http.Handler { return m.metrics.Handler() }
 
-// observe counts a finished statement, by kind and by team, or by database where
-// callers have no team.
+// observe records a finished statement, labelled by team, or by database if the
+// caller has no team.
 func (m *hostMetrics) observe(r edge.Record) {
 	o := r.Outcome
 	label := r.Team
@@ -49,12 +49,12 @@
 	m.metrics.Count("store_calls", metrics.Label{Name: "call", Value: string(call)}, metrics.Label{Name: "result", Value: result})
 }
 
-// promotion counts a promotion that this host has led.
+// promotion counts a promotion led by this host.
 func (m *hostMetrics) promotion(service string, r promoter.Result) {
 	m.metrics.Count("promotions", metrics.Label{Name: "service", Value: service}, metrics.Label{Name: "result", Value: r.String()})
 }
 
-// operation counts what was decided on an operation of a team.
+// operation counts an admitted or refused operation of a team.
 func (m *hostMetrics) operation(team string, admitted bool) {
 	result := "refused"
 	if admitted {
@@ -63,12 +63,12 @@
 	m.metrics.CountTeam("operations", team, metrics.Label{Name: "result", Value: result})
 }
 
-// connections counts what became of the statements that needed a connection.
+// connections adds connection counts: reused, opened, or evicted for another team.
 func (m *hostMetrics) connections(service string, c connpool.Counts) {
-	of := metrics.Label{Name: "service", Value: service}
-	m.metrics.Add("connections_found", c.Reused, of)
-	m.metrics.Add("connections_opened", c.Opened, of)
-	m.metrics.Add("connections_evicted", c.Evicted, of)
+	label := metrics.Label{Name: "service", Value: service}
+	m.metrics.Add("connections_found", c.Reused, label)
+	m.metrics.Add("connections_opened", c.Opened, label)
+	m.metrics.Add("connections_evicted", c.Evicted, label)
 }
 
 func readTarget(primary bool) string {
@@ -78,7 +78,7 @@
 	return "any"
 }
 
-// reportGauges keeps the host's gauges up to date.
+// reportGauges updates the host's gauges until ctx is done.
 func (h *Host) reportGauges(ctx context.Context) {
 	clock.Every(ctx, gaugeInterval, func() { h.gauges(clock.Now()) })
 }
--- a/node/entry/observe.go
+++ b/node/entry/observe.go
@@ -7,8 +7,8 @@
 	"github.com/dotterelswitch/dotterelswitch/node/eventlog"
 )
 
-// Finished implements edge.Observer: it counts a statement and logs why it
-// ended as it did. Statements that needed no member are only counted.
+// Finished implements edge.Observer. It counts the statement and, if it failed or
+// ran on a member, logs its outcome within the log budget.
 func (h *Host) Finished(r edge.Record) {
 	h.metrics.observe(r)
 	h.reads.observe(r)
@@ -18,7 +18,7 @@
 	} else if r.Outcome.Member == "" {
 		return
 	}
-	leftOut, ok := h.budget.Allow(event, clock.Now())
+	suppressed, ok := h.budget.Allow(event, clock.Now())
 	if !ok {
 		return
 	}
@@ -28,5 +28,5 @@
 		Stringer("code", o.Answer.Code).Str("detail", o.Answer.Detail).
 		Str("upstream", o.Member).Str("gate", o.Gate).Bool("primary", o.Primary).Int("attempts", o.Attempts).
 		Stringer("floor", o.Floor).Stringer("position", o.Answer.Position).
-		Dur("held_ms", o.Held).Dur("waited_ms", o.Waited).Dur("took_ms", r.Elapsed).Str("cause", o.Cause).Int("left_out", leftOut).Send()
+		Dur("held_ms", o.Held).Dur("waited_ms", o.Waited).Dur("took_ms", r.Elapsed).Str("cause", o.Cause).Int("left_out", suppressed).Send()
 }
--- a/node/entry/outage_test.go
+++ b/node/entry/outage_test.go
@@ -9,7 +9,7 @@
 	"github.com/dotterelswitch/dotterelswitch/standin/lineplatform"
 )
 
-// awaitWrites waits until each host acknowledges a write.
+// awaitWrites waits until a write succeeds through each host.
 func (d *deployment) awaitWrites() {
 	d.t.Helper()
 	for host := range d.hosts {
@@ -28,13 +28,12 @@
 	require.Eventually(d.t, func() bool {
 		return len(d.platform.Store.Keys("dotterelswitch/locks/")) == 1
 	}, waitLimit, pollInterval)
-	// The holder has to hear of its own lock.
+	// Allow the holder to learn that it holds the lock.
 	time.Sleep(200 * time.Millisecond)
 }
 
-// TestFailoverDuringStoreOutage: a crash of the primary and an
-// outage of the store together must not stop writes for as long as the outage
-// takes.
+// TestFailoverDuringStoreOutage guards against a failover that waits for the end of a
+// store outage.
 func TestFailoverDuringStoreOutage(t *testing.T) {
 	for _, outage := range []lineplatform.Outage{lineplatform.Refusing, lineplatform.Silent} {
 		d := deploy(t, 3, options())
@@ -48,8 +47,8 @@
 	}
 }
 
-// TestLostLockAnswerDoesNotBlockFailover: the lock is taken, but the host
-// that took it was not told.
+// TestLostLockAnswerDoesNotBlockFailover: a host acquires the lock but does not
+// receive the store's answer.
 func TestLostLockAnswerDoesNotBlockFailover(t *testing.T) {
 	d := deploy(t, 3, options())
 	d.awaitWrites()
@@ -63,14 +62,14 @@
 	d.awaitWrites()
 }
 
-// TestLoginWaitsForConfigurationAtStartup: the store comes back soon
-// after a host has started, and a caller that was there before is served.
+// TestLoginWaitsForConfigurationAtStartup: a caller that logs in before a starting
+// host has its configuration is served once the store is back.
 func TestLoginWaitsForConfigurationAtStartup(t *testing.T) {
 	d := deploy(t, 1, options())
 	d.platform.Store.Fail(lineplatform.Refusing)
 	h := d.startHost(d.platform.Address())
-	back := time.AfterFunc(300*time.Millisecond, func() { d.platform.Store.Fail(lineplatform.Up) })
-	defer back.Stop()
+	recovery := time.AfterFunc(300*time.Millisecond, func() { d.platform.Store.Fail(lineplatform.Up) })
+	defer recovery.Stop()
 	require.Nil(t, h.Catalog())
 	c := d.connect(1, "own")
 	c.must("STORE item x")
--- a/node/entry/peers.go
+++ b/node/entry/peers.go
@@ -19,14 +19,14 @@
 )
 
 const (
-	// peerKey tells the deployment's datagrams from others. The platform gives
-	// hosts no secret of their own; its network keeps others out.
+	// datagramKey identifies datagrams of this system. It is not a secret: the
+	// platform issues none to hosts and isolates their network.
 	datagramKey = "dotterelswitch"
-	// askAtOnce is how many hosts are asked for a floor: the primary's gates, which
-	// know, and where they are few, unknown or lost some other hosts, one of which
-	// may have had an answer of the primary lately.
+	// floorQueryFanOut is the number of hosts queried for a floor: the primary's
+	// gates first, then other hosts, which may have a recent answer from the
+	// primary.
 	floorQueryFanOut = 4
-	// askTimeout bounds the wait for their answers.
+	// peerQueryTimeout bounds the wait for an answer from another host.
 	peerQueryTimeout = 300 * time.Millisecond
 )
 
@@ -58,10 +58,10 @@
 	if res.Err == nil {
 		return res
 	}
-	if leftOut, ok := h.budget.Allow(eventlog.GateJobFailed, clock.Now()); ok {
+	if suppressed, ok := h.budget.Allow(eventlog.GateJobFailed, clock.Now()); ok {
 		eventlog.GateJobFailed.Info(h.log).Str("request", j.Work.Statement.ID).Str("service", service).
 			Str("upstream", j.Member).Str("owner", j.Owner).Bool("handed", res.Handed).
-			Dur("waited_ms", res.Waited).Err(res.Err).Int("left_out", leftOut).Send()
+			Dur("waited_ms", res.Waited).Err(res.Err).Int("left_out", suppressed).Send()
 	}
 	return res
 }
@@ -94,7 +94,7 @@
 	return out
 }
 
-// answerPeer tells another host the floors that it asks for.
+// handlePeerMessage processes a datagram from another host and returns the answer.
 func (h *Host) handlePeerMessage(m gossip.Message) gossip.Message {
 	now := clock.Now()
 	var out gossip.Message
@@ -122,7 +122,8 @@
 	return out
 }
 
-// askPeers asks some other hosts for the floor of a service. It does not wait.
+// queryPeersForFloor starts queries for the floor of a service to other hosts and
+// returns immediately.
 func (h *Host) queryPeersForFloor(service string) {
 	if !h.settings.Disabled.Enabled(mechanism.PeerFloors) {
 		return
@@ -132,39 +133,39 @@
 	}
 }
 
-// floorSources returns the hosts to ask for a floor: the primary's gates first,
-// then any others.
+// floorPeers returns the addresses of the hosts to query for a floor: the primary's
+// gates first, then random others.
 func (h *Host) floorPeers(service string) []string {
-	var sources []string
+	var addresses []string
 	if s := h.Set(service); s != nil {
-		sources = slices.Clone(s.KnowingHosts())
+		addresses = slices.Clone(s.KnowingHosts())
 	}
 	fleet := h.registry.Fleet()
 	for _, i := range rand.Perm(len(fleet)) {
-		if len(sources) >= floorQueryFanOut {
+		if len(addresses) >= floorQueryFanOut {
 			break
 		}
-		if other := fleet[i]; other.Name != h.settings.Host && !slices.Contains(sources, other.Address) {
-			sources = append(sources, other.Address)
+		if other := fleet[i]; other.Name != h.settings.Host && !slices.Contains(addresses, other.Address) {
+			addresses = append(addresses, other.Address)
 		}
 	}
-	return sources[:min(len(sources), floorQueryFanOut)]
+	return addresses[:min(len(addresses), floorQueryFanOut)]
 }
 
 func (h *Host) queryPeerForFloor(address, service string) {
 	ctx, cancel := context.WithTimeout(h.ctx, peerQueryTimeout)
 	defer cancel()
-	asked := clock.Now()
+	sentAt := clock.Now()
 	h.traffic.add(trafficFloor)
 	answer, err := h.peers.Probe(ctx, address, gossip.Message{AskFloors: []string{service}})
 	if err != nil {
-		// Datagrams get lost; the next question goes to other hosts.
-		h.log.Debug().Err(err).Str("peer", address).Msg("a question to a peer had no answer")
+		// Lost datagrams are not resent; the next query goes to other hosts.
+		h.log.Debug().Err(err).Str("peer", address).Msg("floor request failed")
 		return
 	}
 	for _, f := range answer.Floors {
 		if s := h.Set(f.Service); s != nil {
-			s.LearnFloor(replicaset.HeardFloor(f.Position, replicaset.Lead{Primary: f.Primary, Term: f.LeadTerm}, f.Age, asked))
+			s.LearnFloor(replicaset.HeardFloor(f.Position, replicaset.Lead{Primary: f.Primary, Term: f.LeadTerm}, f.Age, sentAt))
 		}
 	}
 }
--- a/node/entry/probes_test.go
+++ b/node/entry/probes_test.go
@@ -7,10 +7,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestOnlyGateHostsProbeGroupWithoutPrimary replays the loss of a primary
-// that nobody replaces yet, on a fleet that is large for its members: the
-// members that are left have connections for a few hosts only, and each
-// connection takes one of their slots. Only the hosts that keep them may probe.
+// TestOnlyGateHostsProbeGroupWithoutPrimary guards against probes by all hosts while
+// a group has no primary: probe connections use up the members' slots, so only the
+// hosts that are gates may probe.
 func TestOnlyGateHostsProbeGroupWithoutPrimary(t *testing.T) {
 	d := deploy(t, 14, options())
 	for host := range d.hosts {
@@ -24,17 +23,17 @@
 	time.Sleep(2 * time.Second)
 	before := d.logins()
 	time.Sleep(2 * time.Second)
-	// A fleet that probes as a whole makes about 170 attempts in this time; the
-	// surveys of the promotions that are refused make about 40.
+	// The surveys of the refused promotions make about 40 attempts in this time;
+	// probes by the whole fleet would make about 170.
 	require.Less(t, d.logins()-before, 80)
 }
 
-// logins counts the connections that members were asked for.
+// logins returns the number of connection attempts at all members.
 func (d *deployment) logins() int {
 	sum := int64(0)
 	for _, m := range d.group.Members() {
-		accepted, crowded := m.Logins()
-		sum += accepted + crowded
+		accepted, refused := m.Logins()
+		sum += accepted + refused
 	}
 	return int(sum)
 }
--- a/node/entry/promotion_peers.go
+++ b/node/entry/promotion_peers.go
@@ -8,7 +8,7 @@
 	"github.com/dotterelswitch/dotterelswitch/node/gossip"
 )
 
-// opinion says what this host thinks of a primary that another one asks about.
+// opinion answers another host's question whether a primary is lost.
 func (h *Host) opinion(q gossip.LostQuestion) *gossip.Opinion {
 	p := h.promoter(q.Service)
 	if p == nil {
@@ -30,8 +30,8 @@
 	h.traffic.add(trafficOpinion)
 	answer, err := h.peers.Probe(ctx, address, gossip.Message{AskLost: &gossip.LostQuestion{Service: service, Upstream: primary}})
 	if err != nil || answer.Opinion == nil {
-		// A host that does not answer has no voice; it is asked again.
-		h.log.Debug().Err(err).Str("peer", host).Msg("a peer gave no opinion")
+		// A host that does not answer has no vote; the promoter asks again.
+		h.log.Debug().Err(err).Str("peer", host).Msg("opinion request failed")
 		return succession.Opinion{}, false
 	}
 	o := answer.Opinion
@@ -50,14 +50,14 @@
 			defer cancel()
 			h.traffic.add(trafficAnnouncement)
 			if _, err := h.peers.Probe(ctx, other.Address, gossip.Message{Lead: lead}); err != nil {
-				// The store, or the next floor, tells a host that this does not reach.
-				h.log.Debug().Err(err).Str("peer", other.Name).Msg("a promotion was not announced")
+				// The host learns of the promotion from the store or the next floor.
+				h.log.Debug().Err(err).Str("peer", other.Name).Msg("promotion announcement failed")
 			}
 		}()
 	}
 }
 
-// leads reports whether this host leads a promotion of a service.
+// leadsPromotion reports whether this host leads a promotion of a service.
 func (h *Host) leadsPromotion(service string) bool {
 	p := h.promoter(service)
 	return p != nil && p.Leading()
--- a/node/entry/reads.go
+++ b/node/entry/reads.go
@@ -13,20 +13,18 @@
 	"github.com/dotterelswitch/dotterelswitch/node/replicaset"
 )
 
-// readsInterval is how often a host logs where its reads were served: a line for
-// each kind of route. A line for each service as well made a quarter of all lines
-// of a fleet of 300 hosts and 20 services, 26 a host in five seconds in place of 3,
-// and would grow with the services.
+// readsLogInterval is how often a host logs where its reads were served: one line
+// per consistency level, so that the volume does not grow with the services.
 const readsLogInterval = 5 * time.Second
 
-// readCounts counts where reads were served. It is safe for concurrent use; its
-// lock is a leaf.
+// readCounts counts reads by consistency level and source. It is safe for
+// concurrent use.
 type readCounts struct {
 	mu     sync.Mutex
 	counts map[catalog.Consistency]map[replicaset.ReadSource]int
 }
 
-// observe counts a statement that was served, if it was a read.
+// observe counts the statement if it is a successful read.
 func (c *readCounts) observe(r edge.Record) {
 	if r.Outcome.Source == replicaset.NoRead || r.Outcome.Answer.Code != statement.OK {
 		return
@@ -43,7 +41,7 @@
 	c.counts[kind][r.Outcome.Source]++
 }
 
-// take returns the counts since it was last called.
+// take returns the counts and resets them.
 func (c *readCounts) take() map[catalog.Consistency]map[replicaset.ReadSource]int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -52,7 +50,7 @@
 	return out
 }
 
-// logReads logs where reads were served, until the context ends.
+// logReads periodically logs where reads were served, until ctx is done.
 func (h *Host) logReads(ctx context.Context) {
 	clock.Every(ctx, readsLogInterval, func() {
 		for consistency, sources := range h.reads.take() {
--- a/node/entry/reads_test.go
+++ b/node/entry/reads_test.go
@@ -12,8 +12,8 @@
 	"github.com/dotterelswitch/dotterelswitch/node/replicaset"
 )
 
-// TestReadCountsAreAggregatedOverServices: what a host logs of its reads is a line for
-// each kind of route, however many services its callers use.
+// TestReadCountsAreAggregatedOverServices guards against log volume that grows with
+// the number of services.
 func TestReadCountsAreAggregatedOverServices(t *testing.T) {
 	var counts readCounts
 	served := replicaset.Outcome{Source: replicaset.ByReplica, Answer: statement.Answer{Code: statement.OK}}
@@ -22,8 +22,8 @@
 			counts.observe(edge.Record{Route: catalog.Route{Service: fmt.Sprint("svc-", i), Consistency: kind}, Outcome: served})
 		}
 	}
-	taken := counts.take()
-	require.Len(t, taken, 2)
-	require.Equal(t, 20, taken[catalog.BoundedStaleness][replicaset.ByReplica])
+	got := counts.take()
+	require.Len(t, got, 2)
+	require.Equal(t, 20, got[catalog.BoundedStaleness][replicaset.ByReplica])
 	require.Empty(t, counts.take())
 }
--- a/node/entry/relay_test.go
+++ b/node/entry/relay_test.go
@@ -12,23 +12,23 @@
 	"github.com/dotterelswitch/dotterelswitch/standin/faultproxy"
 )
 
-// deployLarge starts a fleet that is large enough for a relay. All of its hosts
-// are in one zone.
+// deployLarge starts a fleet, in one zone, that is large enough to use a relay.
 func deployLarge(t *testing.T) *deployment {
 	t.Helper()
 	d := deploy(t, 1, options())
 	d.addHostsBehindProxies(relay.MaxFleetWithoutRelays + 2)
-	// A host that starts when the fleet is still small watches the store itself;
-	// it turns to the relay after its next watch.
+	// A host that starts while the fleet is small watches the store directly, and
+	// switches to the relay after that watch.
 	require.Eventually(t, func() bool {
 		before := d.platform.Store.Watches()
 		time.Sleep(4 * time.Second)
 		return d.platform.Store.Watches()-before <= 6
-	}, 3*waitLimit, pollInterval, "one host watches, every 1.5 s; each on its own they would watch 50 times")
+	}, 3*waitLimit, pollInterval, "only the relay may watch the store")
 	return d
 }
 
-// requireConfigChange reports whether hosts come to run on a new configuration.
+// requireConfigChange changes the configuration and waits until it is active on the
+// given hosts.
 func (d *deployment) requireConfigChange(hosts []*entry.Host) {
 	d.t.Helper()
 	version := d.platform.Configure(routes(timeout), timeout)
@@ -37,24 +37,24 @@
 	}
 }
 
-// relayIndex returns the number of the host that the others follow.
+// relayIndex returns the index of the host that the others follow.
 func (d *deployment) relayIndex() int {
-	for n, h := range d.hosts {
+	for i, h := range d.hosts {
 		if h.Followers() > 0 {
-			return n
+			return i
 		}
 	}
 	d.t.Fatal("no host is followed")
 	return 0
 }
 
-// others returns all hosts but one.
-func (d *deployment) hostsExcept(but int) []*entry.Host {
-	return append(slices.Clone(d.hosts[:but]), d.hosts[but+1:]...)
+// hostsExcept returns all hosts but one.
+func (d *deployment) hostsExcept(excluded int) []*entry.Host {
+	return append(slices.Clone(d.hosts[:excluded]), d.hosts[excluded+1:]...)
 }
 
-// TestFleetReceivesConfigThroughRelay: changes reach every host through the one that
-// watches, and still do when that one is lost.
+// TestFleetReceivesConfigThroughRelay: configuration changes reach every host through
+// the relay, and through a new relay after the first is lost.
 func TestFleetReceivesConfigThroughRelay(t *testing.T) {
 	d := deployLarge(t)
 	d.requireConfigChange(d.hosts)
@@ -63,8 +63,8 @@
 	d.requireConfigChange(d.hostsExcept(lost))
 }
 
-// TestFollowersLeaveRelayCutOffFromStore: its followers reach the store, and
-// must not wait for what it does not hear.
+// TestFollowersLeaveRelayCutOffFromStore: the followers of a relay without connection
+// to the store must get changes from elsewhere.
 func TestFollowersLeaveRelayCutOffFromStore(t *testing.T) {
 	d := deployLarge(t)
 	relay := d.relayIndex()
--- a/node/entry/restart_test.go
+++ b/node/entry/restart_test.go
@@ -10,19 +10,19 @@
 	"github.com/dotterelswitch/dotterelswitch/standin/lineplatform"
 )
 
-// awaitWrite waits until a write succeeds and returns how long that took.
+// awaitWrite waits until a write succeeds and returns the time that it took.
 func (c *client) awaitWrite(item string) time.Duration {
 	c.t.Helper()
-	began := time.Now()
+	startedAt := time.Now()
 	require.Eventually(c.t, func() bool {
 		res, err := c.try("STORE " + item + " x")
 		require.NoError(c.t, err)
 		return res.code == ""
 	}, waitLimit, pollInterval)
-	return time.Since(began)
+	return time.Since(startedAt)
 }
 
-// awaitReplicas waits until all members hold the whole log.
+// awaitReplicas waits until all members have the complete log.
 func (d *deployment) awaitReplicas() {
 	d.t.Helper()
 	end := d.group.Primary().Position()
@@ -31,8 +31,8 @@
 	}
 }
 
-// TestPrimaryRestartedEmptyIsReplaced: it takes itself for the primary of
-// its term, but the log is gone. What was acknowledged lives on in the replicas.
+// TestPrimaryRestartedEmptyIsReplaced: a primary that restarts with an empty log and
+// claims its former term must be replaced by a replica with the acknowledged writes.
 func TestPrimaryRestartedEmptyIsReplaced(t *testing.T) {
 	d := deploy(t, 3, options())
 	c := d.connect(0, "strict")
@@ -48,7 +48,7 @@
 		res, err := reader.try("FETCH item-7")
 		require.NoError(t, err)
 		if res.code == "" {
-			require.Equal(t, []string{"x"}, res.rows, "an acknowledged write is gone")
+			require.Equal(t, []string{"x"}, res.rows, "acknowledged write lost")
 		}
 		return res.code == ""
 	}, waitLimit, pollInterval)
@@ -56,8 +56,8 @@
 	require.NotEqual(t, old.ID, d.group.Primary().ID)
 }
 
-// TestReplicaRestartedEmptyServesNoStaleRead: it holds nothing at first, and
-// its prepared names and session values are gone.
+// TestReplicaRestartedEmptyServesNoStaleRead: a replica that restarts has lost its
+// log, prepared statements and session values.
 func TestReplicaRestartedEmptyServesNoStaleRead(t *testing.T) {
 	o := options()
 	o.Lag = 300 * time.Millisecond
@@ -86,9 +86,8 @@
 	return replicas[n%len(replicas)]
 }
 
-// TestStaleMemberEntryDoesNotReplacePrimary: a heartbeat that the store carries
-// out late names a primary that does not exist any more, at the address of the
-// one that does.
+// TestStaleMemberEntryDoesNotReplacePrimary: a delayed heartbeat registers a primary
+// that no longer exists, at the address of the current one.
 func TestStaleMemberEntryDoesNotReplacePrimary(t *testing.T) {
 	d := deploy(t, 2, options())
 	c := d.connect(0, "strict")
@@ -102,18 +101,18 @@
 		time.Sleep(20 * time.Millisecond)
 	}
 	require.Less(t, c.awaitWrite("item"), time.Second)
-	require.Equal(t, primary.ID, d.group.Primary().ID, "the primary lives and is not replaced")
+	require.Equal(t, primary.ID, d.group.Primary().ID, "a live primary was replaced")
 }
 
-// TestMalformedMemberEntriesAreIgnored: odd values among the members' entries,
-// and in place of one, while callers write and read.
+// TestMalformedMemberEntriesAreIgnored: invalid entries, additional ones and in place
+// of a member's entry, must not affect reads and writes.
 func TestMalformedMemberEntriesAreIgnored(t *testing.T) {
 	d := deploy(t, 2, options())
 	c := d.connect(0, "own")
 	replica := nthReplica(d.group, 0)
-	for n, odd := range []string{"", "null", "[1]", `{"service":7}`, `{"service":"svc","state":"odd"}`, "\xff\xfe"} {
-		d.platform.Store.Put(fmt.Sprintf("servers/odd-%d", n), []byte(odd))
-		d.platform.Store.Put("servers/"+replica.ID, []byte(odd))
+	for n, invalid := range []string{"", "null", "[1]", `{"service":7}`, `{"service":"svc","state":"odd"}`, "\xff\xfe"} {
+		d.platform.Store.Put(fmt.Sprintf("servers/odd-%d", n), []byte(invalid))
+		d.platform.Store.Put("servers/"+replica.ID, []byte(invalid))
 		for range 10 {
 			c.must(fmt.Sprintf("STORE item %d", n))
 			require.Equal(t, []string{fmt.Sprint(n)}, c.must("FETCH item").rows)
--- a/node/entry/restored_store_test.go
+++ b/node/entry/restored_store_test.go
@@ -10,20 +10,21 @@
 )
 
 const (
-	// storeAway is how long the store is away before it returns from a copy, and
-	// rewriteAfter when the operators and the members write again.
-	storeAway    = 200 * time.Millisecond
+	// outageTime is how long the store is unavailable before it returns with a
+	// backup, and rewriteAfter is when operators and members write again.
+	outageTime   = 200 * time.Millisecond
 	rewriteAfter = 1500 * time.Millisecond
 )
 
-// TestRevokedKeyStaysRevokedAfterStoreRestore: on hosts that know better, and on
-// one that starts while the store has the older configuration.
+// TestRevokedKeyStaysRevokedAfterStoreRestore: the store is restored from a backup
+// from before a revocation. Running hosts and one that starts then must both refuse
+// the key.
 func TestRevokedKeyStaysRevokedAfterStoreRestore(t *testing.T) {
 	d := deploy(t, 2, options())
 	d.setTeams(schools, clubs)
-	older := d.platform.Store.Copy()
+	backup := d.platform.Store.Copy()
 	d.setTeams(clubs)
-	d.platform.Store.Restore(older)
+	d.platform.Store.Restore(backup)
 	d.startHost(d.platform.Address())
 	require.Eventually(t, func() bool { return d.hosts[2].Catalog() != nil }, waitLimit, pollInterval)
 	until := time.Now().Add(rewriteAfter)
@@ -38,40 +39,41 @@
 	d.connectAs(2, "own", "key-clubs").must("FETCH a")
 }
 
-// TestFailoverDuringStoreRestore: the copy has no lock, or one that another host
-// held; no two hosts may order a promotion with one token.
+// TestFailoverDuringStoreRestore: the backup has no lock or one held by another host.
+// Two hosts must not order promotions with the same token.
 func TestFailoverDuringStoreRestore(t *testing.T) {
 	d := deploy(t, 3, options())
-	older := d.platform.Store.Copy()
+	backup := d.platform.Store.Copy()
 	d.awaitWrites()
 	d.awaitLock()
 	for range 2 {
 		restored := make(chan struct{})
 		go func() {
 			defer close(restored)
-			d.platform.RestoreStore(older, storeAway, rewriteAfter)
+			d.platform.RestoreStore(backup, outageTime, rewriteAfter)
 		}()
-		time.Sleep(2 * storeAway)
+		time.Sleep(2 * outageTime)
 		old := d.group.Primary()
 		old.Crash()
 		d.requireFailover(old, 0, 1, 2)
 		<-restored
 		require.NoError(t, old.Restart())
-		older = d.platform.Store.Copy()
+		backup = d.platform.Store.Copy()
 	}
 	require.Zero(t, d.platform.SharedTokens())
 }
 
-// TestServesDuringStoreRestore: no caller is refused for it.
+// TestServesDuringStoreRestore: no statement fails while the store is restored from a
+// backup.
 func TestServesDuringStoreRestore(t *testing.T) {
 	d := deploy(t, 3, options())
 	d.awaitWrites()
-	older := d.platform.Store.Copy()
+	backup := d.platform.Store.Copy()
 	time.Sleep(time.Second)
 	restored := make(chan struct{})
 	go func() {
 		defer close(restored)
-		d.platform.RestoreStore(older, storeAway, rewriteAfter)
+		d.platform.RestoreStore(backup, outageTime, rewriteAfter)
 	}()
 	callers := []*client{d.connect(0, "own"), d.connect(1, "strict"), d.connect(2, "bounded")}
 	for running := true; running; {
--- a/node/entry/show_test.go
+++ b/node/entry/show_test.go
@@ -15,8 +15,7 @@
 	"github.com/dotterelswitch/dotterelswitch/standin/lineplatform"
 )
 
-// TestShowReportsHostState: an operator sees the sessions, the configuration,
-// the store, the lock and each upstream of a running host.
+// TestShowReportsHostState covers sessions, configuration, store, lock and upstreams.
 func TestShowReportsHostState(t *testing.T) {
 	d := deploy(t, 2, options())
 	c := d.connect(0, "strict")
@@ -32,7 +31,7 @@
 	require.Len(t, s.Services, 1)
 	svc := s.Services[0]
 	require.Equal(t, d.group.Primary().ID, svc.Primary)
-	require.NotNil(t, svc.Floor, "a write has shown the end of the log")
+	require.NotNil(t, svc.Floor, "the write determined a floor")
 	require.Len(t, svc.Upstreams, 3)
 	for _, u := range svc.Upstreams {
 		require.False(t, u.Dead)
@@ -43,8 +42,8 @@
 	require.Eventually(t, func() bool { return d.show(0).Services[0].Lock.Holder != "" }, waitLimit, pollInterval)
 }
 
-// TestShowReportsFailingUpstreamAndStoreOutage: what a host believes of a silent primary and of a
-// lost store is visible while it lasts.
+// TestShowReportsFailingUpstreamAndStoreOutage: a failed primary and a store outage
+// are shown while they last.
 func TestShowReportsFailingUpstreamAndStoreOutage(t *testing.T) {
 	d := deploy(t, 1, options())
 	c := d.connect(0, "strict")
@@ -52,7 +51,7 @@
 	old := d.group.Primary().ID
 	d.group.Primary().Crash()
 	require.Eventually(t, func() bool {
-		// Only traffic shows the loss of a primary.
+		// The loss of a primary is detected by traffic only.
 		c.do("FETCH item")
 		svc := d.show(0).Services[0]
 		return svc.Primary != old && upstream(svc, old).Failing
@@ -72,8 +71,8 @@
 	return &inspectpb.Upstream{}
 }
 
-// TestMetricsCountStoreCallsAndPromotions reads the metrics page with the usual
-// library and looks for the calls to the store and the promotion.
+// TestMetricsCountStoreCallsAndPromotions parses the metrics page with the Prometheus
+// library.
 func TestMetricsCountStoreCallsAndPromotions(t *testing.T) {
 	d := deploy(t, 1, options())
 	c := d.connect(0, "strict")
@@ -89,7 +88,7 @@
 	}, waitLimit, 10*pollInterval)
 }
 
-// show asks a host to describe itself.
+// show returns a host's answer to an inspection request.
 func (d *deployment) show(host int) *inspectpb.ShowResponse {
 	d.t.Helper()
 	s, err := inspect.Show(context.Background(), http.DefaultClient, d.settings[host].MetricsAddress)
@@ -108,7 +107,7 @@
 	return string(body)
 }
 
-// sum adds up the values of a counter that have a label.
+// sum returns the sum of a counter over the series with the given label.
 func sum(t *testing.T, page, name, label, value string) float64 {
 	t.Helper()
 	var parser expfmt.TextParser
--- a/node/entry/startup.go
+++ b/node/entry/startup.go
@@ -13,8 +13,8 @@
 	"github.com/dotterelswitch/dotterelswitch/node/replicaset"
 )
 
-// startupPoll is how often a host that has just started looks for what a caller
-// waits for: well below the time of one statement.
+// startupPollInterval is how often a starting host checks for the configuration or
+// replica set that a caller waits for.
 const startupPollInterval = 10 * time.Millisecond
 
 // AwaitCatalog implements edge.Backend.
@@ -26,24 +26,24 @@
 }
 
 // AwaitSet implements edge.Backend.
-func (h *Host) AwaitSet(ctx context.Context, service string, startBy time.Duration) *replicaset.Set {
-	return awaitStartup(ctx, startup.StatementDeadline(h.startedAt, startBy), func() *replicaset.Set { return h.Set(service) })
+func (h *Host) AwaitSet(ctx context.Context, service string, startDeadline time.Duration) *replicaset.Set {
+	return awaitStartup(ctx, startup.StatementDeadline(h.startedAt, startDeadline), func() *replicaset.Set { return h.Set(service) })
 }
 
-// awaitStartup returns what find finds. While that is nothing it looks again,
-// until a time is over or the context ends.
-func awaitStartup[T any](ctx context.Context, until time.Duration, find func() *T) *T {
+// awaitStartup polls find until it returns a value, the deadline passes or ctx is
+// done.
+func awaitStartup[T any](ctx context.Context, deadline time.Duration, find func() *T) *T {
 	for {
 		found := find()
-		if found != nil || clock.Now() >= until || !clock.Sleep(ctx, startupPollInterval) {
+		if found != nil || clock.Now() >= deadline || !clock.Sleep(ctx, startupPollInterval) {
 			return found
 		}
 	}
 }
 
-// knowsFleet reports whether the other hosts are known well enough to share the
-// members' connections with them. While they are not, statements wait for their
-// group, and the sets are looked at again when they should be.
+// fleetStable reports whether the view of the fleet is stable enough to divide the
+// members' connections among the hosts. Until then statements wait for their set,
+// and reconcile is scheduled for the expected time of stability.
 func (h *Host) fleetStable(hosts []gates.Host) bool {
 	if h.fleetWasStable || !h.settings.Disabled.Enabled(mechanism.FleetWait) {
 		return true
--- a/node/entry/statements_test.go
+++ b/node/entry/statements_test.go
@@ -14,8 +14,8 @@
 	d := deploy(t, 1, options())
 	c := d.connect(0, "own")
 	w := c.must("STORE item-1 hello world")
-	require.True(t, strings.HasSuffix(w.signature, w.id), "signed by a member for this request")
-	require.Equal(t, []string{"hello world"}, c.must("FETCH item-1").rows, "a session sees its own write at once")
+	require.True(t, strings.HasSuffix(w.signature, w.id), "the signature is for this request")
+	require.Equal(t, []string{"hello world"}, c.must("FETCH item-1").rows, "a session must read its own write")
 	require.Equal(t, "-", c.must("PREPARE s1 FETCH q2").signature)
 	require.Equal(t, []string{"hello world"}, c.must("EXECUTE s1 item-1").rows)
 	require.Equal(t, "MALFORMED", c.do("EXECUTE s2 item-1").code)
@@ -27,10 +27,10 @@
 	require.Equal(t, "I", c.must("ROLLBACK").state)
 	require.Equal(t, []string{"none"}, c.must("FETCH item-2").rows)
 	c.must("BEGIN")
-	kept := c.must("STORE item-2 y")
+	committed := c.must("STORE item-2 y")
 	c.must("COMMIT")
 	require.Equal(t, []string{"y"}, c.must("FETCH item-2").rows)
-	require.Equal(t, 1, d.group.Committed(kept.id))
+	require.Equal(t, 1, d.group.Committed(committed.id))
 }
 
 func TestMalformedInputIsRefused(t *testing.T) {
@@ -53,9 +53,9 @@
 	require.Contains(t, string(buf[:n]), "ERROR NODB")
 }
 
-// TestDeposedPrimaryServesNoStrictRead: a member that lost the lead without
-// this host's knowledge still answers plain reads, from a log that lacks its
-// successor's commits.
+// TestDeposedPrimaryServesNoStrictRead: a member was deposed without the host's
+// knowledge. Strict reads must not run on it, as its log lacks the new primary's
+// commits.
 func TestDeposedPrimaryServesNoStrictRead(t *testing.T) {
 	d := deploy(t, 1, options())
 	c := d.connect(0, "strict")
@@ -78,12 +78,12 @@
 		}
 		require.NotEmpty(t, res.code+strings.Join(res.rows, ""))
 	case <-time.After(time.Second):
-		// It waits for a primary, which is as good.
+		// The read waits for a primary, which is also correct.
 	}
 }
 
-// TestUnansweredWriteIsInDoubt: once a write was handed over, only its answer
-// tells; it must not be run again.
+// TestUnansweredWriteIsInDoubt: a write that was sent to a member and got no answer
+// must not be retried.
 func TestUnansweredWriteIsInDoubt(t *testing.T) {
 	d := deploy(t, 1, options())
 	d.platform.Configure(routes(300*time.Millisecond), timeout)
@@ -96,8 +96,7 @@
 	require.Equal(t, 1, d.group.Committed(res.id))
 }
 
-// waitForTimeout waits until the configuration with a statement timeout is in
-// force.
+// waitForTimeout waits until a statement timeout is active.
 func waitForTimeout(t *testing.T, d *deployment, want time.Duration) {
 	t.Helper()
 	require.Eventually(t, func() bool {
@@ -106,8 +105,8 @@
 	}, waitLimit, pollInterval)
 }
 
-// TestBusyRefusalIsRetriedOnAnotherMember: a promise that nothing ran allows another
-// try.
+// TestBusyRefusalIsRetriedOnAnotherMember: a busy refusal means that the statement
+// has not run, so that even a write may be retried.
 func TestBusyRefusalIsRetriedOnAnotherMember(t *testing.T) {
 	d := deploy(t, 1, options())
 	c := d.connect(0, "own")
@@ -120,8 +119,8 @@
 	require.Equal(t, 1, d.group.Committed(w.id))
 }
 
-// TestIdleTransactionTimesOut: the configuration bounds how long a transaction
-// may rest; its writes are dropped and the caller is told.
+// TestIdleTransactionTimesOut: a transaction that exceeds the configured idle timeout
+// is rolled back, and the caller gets an error.
 func TestIdleTransactionTimesOut(t *testing.T) {
 	d := deploy(t, 1, options())
 	d.platform.Configure(routes(timeout), 200*time.Millisecond)
@@ -137,20 +136,20 @@
 	require.Zero(t, d.group.Committed(w.id))
 }
 
-// TestSessionsAreIsolatedOnPooledConnections runs sessions with values and prepared names of their
-// own over few connections and checks each answer.
+// TestSessionsAreIsolatedOnPooledConnections runs sessions with their own session
+// values and prepared statements over fewer connections and checks each answer.
 func TestSessionsAreIsolatedOnPooledConnections(t *testing.T) {
 	o := options()
 	o.MaxConnections = 4
 	d := deploy(t, 1, o)
 	const sessions, rounds = 12, 15
-	failed := make(chan error, sessions)
+	results := make(chan error, sessions)
 	for i := range sessions {
 		c := d.connect(0, []string{"strict", "own"}[i%2])
-		go func() { failed <- runSession(c, i, rounds) }()
+		go func() { results <- runSession(c, i, rounds) }()
 	}
 	for range sessions {
-		require.NoError(t, <-failed)
+		require.NoError(t, <-results)
 	}
 }
 
@@ -174,8 +173,8 @@
 	return nil
 }
 
-// TestReadWithLostAnswerIsRetriedElsewhere: a member that ran a read and did not
-// answer must not use up the read's whole time.
+// TestReadWithLostAnswerIsRetriedElsewhere guards against a lost answer that uses up
+// a read's whole timeout.
 func TestReadWithLostAnswerIsRetriedElsewhere(t *testing.T) {
 	d := deploy(t, 1, options())
 	d.setLatencyTarget(200*time.Millisecond, timeout)
@@ -186,7 +185,7 @@
 			m.LoseAnswers(1)
 		}
 	}
-	began := time.Now()
+	startedAt := time.Now()
 	require.Equal(t, []string{"x"}, c.must("FETCH item").rows)
-	require.Less(t, time.Since(began), timeout/2, "without another try the answer comes at the timeout or never")
+	require.Less(t, time.Since(startedAt), timeout/2, "the read was not retried before its timeout")
 }
--- a/node/entry/stop.go
+++ b/node/entry/stop.go
@@ -8,27 +8,26 @@
 	"github.com/dotterelswitch/dotterelswitch/node/eventlog"
 )
 
-// A stop divides the grace that the platform gives. The fractions are of the
-// whole grace.
+// The phases of a stop, as fractions of the grace period.
 const (
-	// noticeShare is how long the host serves on as before, until the platform
-	// has asked twice and sends no new callers: two seconds of six.
+	// noticeFraction is how long the host keeps serving while it fails readiness
+	// checks, until the platform sends no new callers.
 	noticeFraction = 0.4
-	// transactionShare is when open transactions that rest are ended.
+	// abortFraction is when idle transactions are rolled back.
 	abortFraction = 0.55
-	// lastShare is when the host ends even though callers are left.
+	// drainFraction is when the remaining sessions are closed.
 	drainFraction = 0.85
 )
 
-// Stop ends the host in order within its grace. It reports whether no caller
-// was cut.
+// Stop shuts the host down gracefully within its grace period. It reports whether
+// all sessions ended before they had to be closed.
 func (h *Host) Stop() bool {
-	began := time.Now()
+	startedAt := time.Now()
 	eventlog.Stopping.Info(h.log).Dur("grace_ms", h.settings.GracePeriod).Int("callers", h.gateway.Sessions()).Send()
 	h.stopping.Store(true)
 	h.deregister()
 	time.Sleep(h.graceFraction(noticeFraction))
-	ctx, cancel := context.WithDeadline(context.Background(), began.Add(h.graceFraction(drainFraction)))
+	ctx, cancel := context.WithDeadline(context.Background(), startedAt.Add(h.graceFraction(drainFraction)))
 	defer cancel()
 	timer := time.AfterFunc(h.graceFraction(abortFraction-noticeFraction), func() {
 		h.gateway.AbortTransactions("the host is stopping")
@@ -46,8 +45,8 @@
 	return clean
 }
 
-// leave takes the host off the list of those that keep connections. What other
-// hosts have begun here goes on.
+// deregister removes the host from the registry, so that it no longer acts as a
+// gate. Running jobs of other hosts continue.
 func (h *Host) deregister() {
 	ctx, cancel := context.WithTimeout(context.Background(), closeTimeout)
 	defer cancel()
@@ -56,14 +55,15 @@
 	}
 }
 
-// awaitPeers waits until what other hosts have begun here has ended.
+// awaitRemoteWork waits until the jobs and transactions of other hosts have ended.
 func (h *Host) awaitRemoteWork(ctx context.Context) {
 	for ctx.Err() == nil && h.hasRemoteWork() {
 		time.Sleep(remoteWorkPollInterval)
 	}
 }
 
-// peersPoll is how often a stopping host looks whether others still need it.
+// remoteWorkPollInterval is how often a stopping host checks for remaining work of
+// other hosts.
 const remoteWorkPollInterval = 20 * time.Millisecond
 
 func (h *Host) hasRemoteWork() bool {
@@ -78,22 +78,22 @@
 	return false
 }
 
-func (h *Host) graceFraction(part float64) time.Duration {
-	return time.Duration(part * float64(h.settings.GracePeriod))
+func (h *Host) graceFraction(fraction float64) time.Duration {
+	return time.Duration(fraction * float64(h.settings.GracePeriod))
 }
 
-// closeTimeout bounds the end of each part.
+// closeTimeout bounds the shutdown of each component.
 const closeTimeout = 300 * time.Millisecond
 
-// shutDownServers lets the answers leave that are on their way to other hosts.
-// A commit whose answer is lost here would be in doubt there.
+// shutDownServers lets responses to other hosts complete: a commit whose response
+// is lost would be in doubt there.
 func (h *Host) shutDownServers() {
 	ctx, cancel := context.WithTimeout(context.Background(), closeTimeout)
 	defer cancel()
 	var wg sync.WaitGroup
 	for _, s := range h.servers {
 		wg.Go(func() {
-			// Connections that other hosts keep open are closed after the timeout.
+			// Connections still open after the timeout are closed by close.
 			_ = s.Shutdown(ctx)
 		})
 	}
@@ -106,15 +106,15 @@
 	h.cancel()
 	h.peers.Close()
 	for _, s := range h.servers {
-		// The process ends; what a closed listener reports changes nothing.
+		// The process ends, so errors are irrelevant.
 		_ = s.Close()
 	}
 	if err := h.gateway.Stop(ctx); err != nil {
-		h.log.Debug().Err(err).Msg("the gateway did not stop in time")
+		h.log.Debug().Err(err).Msg("gateway stop failed")
 	}
 }
 
-// Kill ends the host at once, as a crash does.
+// Kill stops the host immediately, to simulate a crash.
 func (h *Host) Kill() {
 	h.registry.Abandon()
 	h.close()
--- a/node/entry/stop_test.go
+++ b/node/entry/stop_test.go
@@ -12,9 +12,8 @@
 	"github.com/dotterelswitch/dotterelswitch/standin/loopback"
 )
 
-// TestShutdownCompletesRunningResponse: a job counts as over before its answer
-// has left. The answer gets out although the host has nothing left to do; the
-// commit that it tells of would be in doubt otherwise.
+// TestShutdownCompletesRunningResponse guards against the loss of a response that is
+// being written during shutdown, which would leave a commit in doubt.
 func TestShutdownCompletesRunningResponse(t *testing.T) {
 	address, err := loopback.FreeAddress()
 	require.NoError(t, err)
@@ -45,7 +44,8 @@
 	require.Equal(t, "committed", <-got)
 }
 
-// TestStreamsEndOnShutdown: a host that others follow is not kept from ending.
+// TestStreamsEndOnShutdown guards against a shutdown that blocks on the streams of
+// other hosts.
 func TestStreamsEndOnShutdown(t *testing.T) {
 	address, err := loopback.FreeAddress()
 	require.NoError(t, err)
--- a/node/entry/store_progress.go
+++ b/node/entry/store_progress.go
@@ -8,11 +8,12 @@
 	"github.com/dotterelswitch/dotterelswitch/node/eventlog"
 )
 
-// newsInterval is how often a host logs how far it has heard of the store.
+// storeProgressInterval is how often a host logs its store revision and the source
+// of its updates.
 const storeProgressInterval = 5 * time.Second
 
-// logNews logs how far this host has heard of the store, and on which way, until
-// the context ends.
+// logStoreProgress periodically logs this host's store revision and the source of
+// its updates, until ctx is done.
 func (h *Host) logStoreProgress(ctx context.Context) {
 	clock.Every(ctx, storeProgressInterval, h.writeStoreProgressLine)
 }
--- a/node/entry/teams_test.go
+++ b/node/entry/teams_test.go
@@ -15,13 +15,13 @@
 	"github.com/dotterelswitch/dotterelswitch/standin/lineplatform"
 )
 
-// The teams of these tests.
 var (
 	schools = lineplatform.Team{Name: "schools", Keys: []string{"key-schools-1", "key-schools-2"}}
 	clubs   = lineplatform.Team{Name: "clubs", Keys: []string{"key-clubs"}}
 )
 
-// setTeams has callers asked for a key, on all hosts.
+// setTeams configures teams, so that callers need a key, and waits until that is
+// active on all hosts.
 func (d *deployment) setTeams(teams ...lineplatform.Team) {
 	d.t.Helper()
 	d.platform.SetTeams(teams...)
@@ -64,8 +64,8 @@
 	require.Equal(t, "UNAUTH", refused.Code())
 }
 
-// TestRevokedKeyIsRefusedInOpenSessions: a session that was open before, and a
-// transaction in it, get nothing more run; other keys of the team stay.
+// TestRevokedKeyIsRefusedInOpenSessions: a revoked key is refused in open sessions and
+// transactions; other keys of the team stay valid.
 func TestRevokedKeyIsRefusedInOpenSessions(t *testing.T) {
 	d := deploy(t, 1, options())
 	d.setTeams(schools, clubs)
@@ -75,19 +75,19 @@
 	open.must("BEGIN")
 	written := open.must("STORE a x").id
 
-	left := schools
-	left.Keys = schools.Keys[1:]
-	d.setTeams(left, clubs)
+	remaining := schools
+	remaining.Keys = schools.Keys[1:]
+	d.setTeams(remaining, clubs)
 	require.Equal(t, "UNAUTH", idle.do("FETCH a").code)
 	refused := open.do("COMMIT")
 	require.Equal(t, "UNAUTH", refused.code)
-	require.Equal(t, "I", refused.state, "the transaction has ended")
+	require.Equal(t, "I", refused.state, "the transaction must have ended")
 	require.Equal(t, 0, d.group.Committed(written))
 	other.must("FETCH a")
 }
 
-// TestRevokedTransactionIsRolledBack: the rollback that a caller sends after the
-// refusal ends its transaction.
+// TestRevokedTransactionIsRolledBack: a caller whose key was revoked can still end its
+// transaction with a rollback.
 func TestRevokedTransactionIsRolledBack(t *testing.T) {
 	d := deploy(t, 1, options())
 	d.setTeams(schools, clubs)
@@ -99,21 +99,21 @@
 	require.Equal(t, "I", c.must("ROLLBACK").state)
 }
 
-// tolerance is by how much a team may exceed its limit in these tests.
+// tolerance is the permitted excess over a team's limit.
 var tolerance = quota.Tolerance{Window: time.Second, Share: 0.1, Operations: 20}
 
-// TestTeamLimitHoldsAcrossHosts: a team asks three hosts for many times its
-// limit. In no window more run than may; what is refused has not run and says when
-// to come back; another team is served all the while.
+// TestTeamLimitHoldsAcrossHosts: a team exceeds its limit through three hosts. No time
+// window may contain more operations than permitted, refusals must carry a retry
+// delay, and another team must not be affected.
 func TestTeamLimitHoldsAcrossHosts(t *testing.T) {
 	d := deployPlatform(t, options())
 	d.tolerance = tolerance
 	for range 3 {
 		d.addHost()
 	}
-	hot := schools
-	hot.Rate, hot.Burst = 20, 20
-	d.setTeams(hot, clubs)
+	limited := schools
+	limited.Rate, limited.Burst = 20, 20
+	d.setTeams(limited, clubs)
 	var wg sync.WaitGroup
 	until := time.Now().Add(4 * time.Second)
 	refused := make([]int, len(d.hosts))
@@ -135,9 +135,9 @@
 			}
 		})
 	}
-	quiet := d.connectAs(0, "bounded", "key-clubs")
+	unaffected := d.connectAs(0, "bounded", "key-clubs")
 	for range 20 {
-		quiet.must("FETCH b")
+		unaffected.must("FETCH b")
 		time.Sleep(20 * time.Millisecond)
 	}
 	wg.Wait()
@@ -145,15 +145,16 @@
 		require.Positive(t, n, "host %d", host)
 	}
 	all := map[string]time.Time{}
-	for _, of := range sent {
-		maps.Copy(all, of)
+	for _, byID := range sent {
+		maps.Copy(all, byID)
 	}
-	most := busiestWindow(d.group.Runs(), all, tolerance.Window)
-	require.LessOrEqual(t, float64(most), (20+20)*1.1+20)
-	require.GreaterOrEqual(t, most, 30, "what the limit allows is served")
+	busiest := busiestWindow(d.group.Runs(), all, tolerance.Window)
+	require.LessOrEqual(t, float64(busiest), (20+20)*1.1+20)
+	require.GreaterOrEqual(t, busiest, 30, "operations within the limit must be served")
 }
 
-// TestTransactionCountsAsOneOperation: its statements are not counted one by one.
+// TestTransactionCountsAsOneOperation guards against counting each statement of a
+// transaction against the limit.
 func TestTransactionCountsAsOneOperation(t *testing.T) {
 	d := deployPlatform(t, options())
 	d.tolerance = quota.Tolerance{Window: 5 * time.Second}
@@ -176,10 +177,10 @@
 	c.must("COMMIT")
 }
 
-// busiestWindow returns the most statements that were both sent and run in one
-// window: one that waits for a connection belongs to the windows that hold both.
+// busiestWindow returns the largest number of statements that were both sent and run
+// within one window.
 func busiestWindow(runs []lineplatform.Run, sent map[string]time.Time, window time.Duration) int {
-	most := 0
+	busiest := 0
 	for _, start := range sent {
 		n := 0
 		for _, r := range runs {
@@ -188,12 +189,12 @@
 				n++
 			}
 		}
-		most = max(most, n)
+		busiest = max(busiest, n)
 	}
-	return most
+	return busiest
 }
 
-// syncLog is a log that several goroutines write.
+// syncLog is a log buffer that is safe for concurrent use.
 type syncLog struct {
 	mu   sync.Mutex
 	text strings.Builder
@@ -211,7 +212,7 @@
 	return l.text.String()
 }
 
-// TestLogsDoNotContainKeys: neither a served, a refused nor a revoked caller's.
+// TestLogsDoNotContainKeys covers a served, a refused and a revoked caller.
 func TestLogsDoNotContainKeys(t *testing.T) {
 	log := &syncLog{}
 	d := deploy(t, 1, options())
@@ -230,8 +231,8 @@
 	}
 }
 
-// TestShowReportsTeams: who uses the host, within which limit, who counts it, and
-// what was refused, without a key.
+// TestShowReportsTeams: the inspection API reports the teams' usage, limits, counting
+// hosts and refusals, but no keys.
 func TestShowReportsTeams(t *testing.T) {
 	d := deployPlatform(t, options())
 	d.tolerance = quota.Tolerance{Window: time.Second}
--- a/node/entry/ticker.go
+++ b/node/entry/ticker.go
@@ -8,12 +8,11 @@
 	"github.com/dotterelswitch/dotterelswitch/node/replicaset"
 )
 
-// ticksPerTidy is how many glances at the promoters go by until connections are
-// looked over.
+// ticksPerPoolCheck is the number of promoter ticks per tick of the replica sets.
 const ticksPerPoolCheck = int(replicaset.TidyInterval / promoter.Interval)
 
-// watchGroups looks at all groups by one clock, until the context ends: a timer a
-// group would wake the host for each.
+// tickGroups ticks all promoters and replica sets until ctx is done. One shared
+// ticker avoids a timer wake-up per group.
 func (h *Host) tickGroups(ctx context.Context) {
 	ticks := 0
 	clock.Every(ctx, promoter.Interval, func() {
--- a/node/entry/traffic.go
+++ b/node/entry/traffic.go
@@ -11,12 +11,11 @@
 	"github.com/dotterelswitch/dotterelswitch/node/registry"
 )
 
-// talkInterval is how often a host logs what it sent for control: one line, which
-// is less than a tenth of what a loaded host writes.
+// trafficLogInterval is how often a host logs its control traffic.
 const trafficLogInterval = 5 * time.Second
 
-// The purposes of datagrams to other hosts. Calls to the store are counted by
-// their name and result.
+// The purposes of datagrams to other hosts, and the prefix for calls to the store,
+// which are counted by name and result.
 const (
 	trafficFloor        = "datagram floor"
 	trafficOpinion      = "datagram opinion"
@@ -26,16 +25,14 @@
 	trafficStorePrefix  = "store "
 )
 
-// What became of the statements that needed a connection to a member. An opened one
-// costs the member as much as a statement.
+// How statements obtained a connection to a member.
 const (
 	connectionReused  = "connection found"
 	connectionOpened  = "connection opened"
 	connectionEvicted = "connection closed for another team"
 )
 
-// talkCounts counts what a host sends for control, by purpose. It is safe for
-// concurrent use; its lock is a leaf.
+// trafficCounts counts control messages by purpose. It is safe for concurrent use.
 type trafficCounts struct {
 	mu     sync.Mutex
 	counts map[string]int
@@ -54,7 +51,7 @@
 	c.counts[purpose] += n
 }
 
-// take returns the counts since it was last called.
+// take returns the counts and resets them.
 func (c *trafficCounts) take() map[string]int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -63,7 +60,8 @@
 	return out
 }
 
-// countConnections takes what the pools have done into the counts and the metrics.
+// countConnections adds the pools' connection counts to the traffic counts and the
+// metrics.
 func (h *Host) countConnections() {
 	for _, s := range h.allSets() {
 		c := s.TakeConnectionCounts()
@@ -74,14 +72,14 @@
 	}
 }
 
-// logTalk logs what this host sent for control, until the context ends and once
-// more then.
+// logTraffic periodically logs the control traffic until ctx is done, and once more
+// then.
 func (h *Host) logTraffic(ctx context.Context) {
 	clock.Every(ctx, trafficLogInterval, h.writeTrafficLine)
 	h.writeTrafficLine()
 }
 
-// storeCalled counts a call to the platform's store.
+// recordStoreCall counts a call to the platform's store.
 func (h *Host) recordStoreCall(call registry.CallName, result string) {
 	h.metrics.storeCall(call, result)
 	h.traffic.add(trafficStorePrefix + string(call) + " " + result)
