--- a/node/entry/entry.go
+++ b/node/entry/entry.go
@@ -1,6 +1,6 @@
-// Package entry assembles an entry host in front of a platform that keeps the
-// configuration, the members' entries and the order of promotions: the gateway
-// for callers, one replica set a service, and one promoter for each.
+// Package entry assembles an entry host: the gateway for callers, and a replica
+// set and a promoter for each service. A platform stores the configuration and the
+// members' entries and carries out promotions.
 package entry
 
 import (
@@ -33,41 +33,40 @@
 	"github.com/dotterelswitch/dotterelswitch/node/replicaset"
 )
 
-// Adapter is the way to one platform.
+// Adapter holds the protocols and clients of one platform.
 type Adapter struct {
 	Callers   edge.Protocol
 	Members   replicaset.Protocol
 	Store     registry.Store
 	Documents registry.Documents
 	Promotion promoter.Platform
-	// ReadyPath is where the platform asks whether the host takes callers.
-	ReadyPath string
+	// ReadinessPath is the path of the readiness check.
+	ReadinessPath string
 }
 
-// Settings are what a host is told when it starts.
+// Settings are the start parameters of a host.
 type Settings struct {
-	Host          string
-	Places        replicaset.Topology
-	CallerAddress string
-	ReadyAddress  string
-	// MetricsAddress serves the metrics and shows the host to operators; empty
-	// for neither.
+	Host             string
+	Places           replicaset.Topology
+	CallerAddress    string
+	ReadinessAddress string
+	// MetricsAddress serves metrics and the inspection API; empty for neither.
 	MetricsAddress string
-	// PeerAddress is where other hosts send datagrams.
+	// PeerAddress is the address, UDP and TCP, for other hosts.
 	PeerAddress string
 	MaxSessions int
 	Workers     int
-	// Grace is the time from the signal to stop until the process is killed.
-	Grace time.Duration
-	// DrainBound is the latest time after a member's notice at which it may be
-	// sent new work.
+	// GracePeriod is the time from the stop signal until the process is killed.
+	GracePeriod time.Duration
+	// DrainBound bounds the time during which a member that has announced its
+	// drain may still be sent new work.
 	DrainBound time.Duration
-	// ConfigBound is how soon a change of the configuration must be in force.
+	// ConfigBound is the time within which a configuration change must be active.
 	ConfigBound time.Duration
-	// Quota is how exactly the teams' limits are to be kept.
-	Quota quota.Tolerance
-	// Without is what the host is run without.
-	Without mechanism.Disabled
+	// QuotaTolerance is by how much teams may exceed their limits.
+	QuotaTolerance quota.Tolerance
+	// Disabled lists the mechanisms that are switched off.
+	Disabled mechanism.Disabled
 }
 
 // Host is one running entry host.
@@ -81,7 +80,7 @@
 	metrics  *hostMetrics
 	budget   *eventlog.Budget
 	reads    readCounts
-	talk     *talkCounts
+	traffic  *trafficCounts
 	ctx      context.Context
 	cancel   context.CancelFunc
 	wg       sync.WaitGroup
@@ -89,46 +88,45 @@
 	peers    *gossip.Transport
 	gates    *peer.GateClient
 	limiter  *limits.Limiter
-	// looks are shared by all groups of the host.
-	looks singleflight.Group
-	// startedAt is when the host started.
-	startedAt time.Duration
-	// owner names this host and its incarnation to gates.
+	// livenessProbes deduplicates concurrent liveness checks of one address.
+	livenessProbes singleflight.Group
+	startedAt      time.Duration
+	// owner identifies this host and its incarnation to gates.
 	owner    string
 	stopping atomic.Bool
-	// jobs counts what other hosts have running here.
-	jobs   atomic.Int64
-	wake   chan struct{}
-	failed chan error
-	// fleet is the hosts that the sets were last told of, and starting judges
-	// whether they are known well enough; fleetKnown tells that they are. They
-	// belong to reconcile.
-	fleet      gates.Fleet
-	starting   startup.FleetStability
-	fleetKnown bool
+	// remoteJobs counts the running jobs of other hosts.
+	remoteJobs    atomic.Int64
+	reconcileWake chan struct{}
+	failed        chan error
+	// fleet is the list of hosts last passed to the sets. fleetStability decides
+	// whether a starting host has a stable view of the fleet, and fleetWasStable
+	// records that it had. Only reconcile accesses these fields.
+	fleet          gates.Fleet
+	fleetStability startup.FleetStability
+	fleetWasStable bool
 
-	// mu guards sets and promoters, both by service.
+	// mu guards sets and promoters, which are keyed by service.
 	mu        sync.RWMutex
 	sets      map[string]*replicaset.Set
 	promoters map[string]*promoter.Promoter
 }
 
-// Start runs a host. It returns once the listeners accept.
+// Start starts a host. It returns once the listeners accept connections.
 func Start(s Settings, a Adapter, dial replicaset.DialFunc, log zerolog.Logger) (*Host, error) {
 	h := &Host{
 		settings: s, adapter: a, dial: dial, log: log.With().Str("host", s.Host).Logger(),
-		wake: make(chan struct{}, 1), failed: make(chan error, 1), sets: map[string]*replicaset.Set{}, promoters: map[string]*promoter.Promoter{},
-		metrics: newHostMetrics(), budget: eventlog.NewBudget(), talk: newTalkCounts(), startedAt: clock.Now(), fleet: gates.NewFleet(nil, s.Places.Regions),
+		reconcileWake: make(chan struct{}, 1), failed: make(chan error, 1), sets: map[string]*replicaset.Set{}, promoters: map[string]*promoter.Promoter{},
+		metrics: newHostMetrics(), budget: eventlog.NewBudget(), traffic: newTrafficCounts(), startedAt: clock.Now(), fleet: gates.NewFleet(nil, s.Places.Regions),
 	}
 	h.ctx, h.cancel = context.WithCancel(context.Background())
 	h.owner = fmt.Sprintf("%s@%d", s.Host, clock.Now())
 	h.gates = peer.NewGateClient(h.ctx, dial, h.owner)
 	h.registry = registry.New(registry.Config{
-		Store: registry.NewCountingStore(a.Store, h.storeCalled), Documents: a.Documents,
+		Store: registry.NewCountingStore(a.Store, h.recordStoreCall), Documents: a.Documents,
 		Self:               gates.Host{Name: s.Host, Zone: s.Places.Zone, Address: s.PeerAddress},
-		MaxConfigApplyTime: s.ConfigBound, FollowHost: h.gates.Follow, FetchConfig: h.gates.Configuration, Disabled: s.Without, Changed: h.poke, Log: h.log,
+		MaxConfigApplyTime: s.ConfigBound, FollowHost: h.gates.Follow, FetchConfig: h.gates.Configuration, Disabled: s.Disabled, Changed: h.wakeReconcile, Log: h.log,
 	})
-	h.limiter = limits.New(limits.Config{Self: quota.Host{Name: s.Host, Region: s.Places.Region(s.Places.Zone)}, Tolerance: s.Quota, RequestGrant: h.requestGrant, Limit: h.limitOf, RegisteredAtStart: h.registry.RegisteredAtStart})
+	h.limiter = limits.New(limits.Config{Self: quota.Host{Name: s.Host, Region: s.Places.Region(s.Places.Zone)}, Tolerance: s.QuotaTolerance, RequestGrant: h.requestGrant, Limit: h.limitOf, RegisteredAtStart: h.registry.RegisteredAtStart})
 	if err := h.listen(); err != nil {
 		h.cancel()
 		return nil, err
@@ -145,26 +143,26 @@
 	h.wg.Go(func() { h.registry.KeepRegistered(h.ctx) })
 	h.wg.Go(func() { h.registry.PollPeers(h.ctx, h.gates.Listing) })
 	h.wg.Go(func() { h.reconcile(h.ctx) })
-	h.wg.Go(func() { h.endIdleTransactions(h.ctx) })
-	h.wg.Go(func() { h.watchGroups(h.ctx) })
+	h.wg.Go(func() { h.abortIdleTransactions(h.ctx) })
+	h.wg.Go(func() { h.tickGroups(h.ctx) })
 	h.wg.Go(func() { h.reportGauges(h.ctx) })
 	h.wg.Go(func() { h.logReads(h.ctx) })
-	h.wg.Go(func() { h.logTalk(h.ctx) })
-	h.wg.Go(func() { h.logNews(h.ctx) })
+	h.wg.Go(func() { h.logTraffic(h.ctx) })
+	h.wg.Go(func() { h.logStoreProgress(h.ctx) })
 	return h, h.startGateway()
 }
 
-// poke has the sets brought in step with the registry.
-func (h *Host) poke() {
+// wakeReconcile triggers an update of the sets from the registry.
+func (h *Host) wakeReconcile() {
 	select {
-	case h.wake <- struct{}{}:
+	case h.reconcileWake <- struct{}{}:
 	default:
 	}
 }
 
 func (h *Host) newGateway() error {
 	g, err := edge.New(edge.Config{
-		Address: h.settings.CallerAddress, MaxSessions: h.settings.MaxSessions, Workers: h.settings.Workers, Log: h.log, Budget: h.budget,
+		Address: h.settings.CallerAddress, MaxSessions: h.settings.MaxSessions, Workers: h.settings.Workers, Log: h.log, LogBudget: h.budget,
 	}, h.adapter.Callers, h, h)
 	if err != nil {
 		return err
@@ -176,38 +174,38 @@
 func (h *Host) startGateway() error {
 	go func() { h.failed <- h.gateway.Run() }()
 	select {
-	case <-h.gateway.Booted():
+	case <-h.gateway.Listening():
 	case err := <-h.failed:
 		return err
 	}
-	eventlog.Started.Info(h.log).Str("listen", h.settings.CallerAddress).Str("zone", h.settings.Places.Zone).Strs("without", h.settings.Without.Names()).Send()
+	eventlog.Started.Info(h.log).Str("listen", h.settings.CallerAddress).Str("zone", h.settings.Places.Zone).Strs("without", h.settings.Disabled.Names()).Send()
 	return nil
 }
 
-// headerTimeout bounds how long the platform may take for its headers.
-const headerTimeout = 5 * time.Second
+// readHeaderTimeout bounds the time to read the headers of a request.
+const readHeaderTimeout = 5 * time.Second
 
 func (h *Host) listen() error {
 	mux := http.NewServeMux()
-	mux.HandleFunc("GET "+h.adapter.ReadyPath, func(w http.ResponseWriter, _ *http.Request) {
+	mux.HandleFunc("GET "+h.adapter.ReadinessPath, func(w http.ResponseWriter, _ *http.Request) {
 		if !h.Ready() {
 			w.WriteHeader(http.StatusServiceUnavailable)
 		}
 	})
-	if err := h.serve(h.settings.ReadyAddress, mux); err != nil {
+	if err := h.serve(h.settings.ReadinessAddress, mux); err != nil {
 		return err
 	}
 	if h.settings.MetricsAddress == "" {
 		return nil
 	}
-	text := http.NewServeMux()
-	text.Handle("GET /metrics", h.metrics.handler())
-	text.Handle(inspect.Handler(h))
-	return h.serve(h.settings.MetricsAddress, text)
+	metricsMux := http.NewServeMux()
+	metricsMux.Handle("GET /metrics", h.metrics.handler())
+	metricsMux.Handle(inspect.Handler(h))
+	return h.serve(h.settings.MetricsAddress, metricsMux)
 }
 
 func (h *Host) serve(address string, handler http.Handler) error {
-	return h.serveWith(address, &http.Server{Handler: handler, ReadHeaderTimeout: headerTimeout})
+	return h.serveWith(address, &http.Server{Handler: handler, ReadHeaderTimeout: readHeaderTimeout})
 }
 
 func (h *Host) serveWith(address string, s *http.Server) error {
@@ -215,7 +213,7 @@
 	if err != nil {
 		return err
 	}
-	// Streams to other hosts end when this one does.
+	// Cancelling h.ctx ends streams to other hosts.
 	s.BaseContext = func(net.Listener) context.Context { return h.ctx }
 	h.servers = append(h.servers, s)
 	go func() {
@@ -226,13 +224,13 @@
 	return nil
 }
 
-// Ready reports whether the host takes callers: it has a configuration, knows
-// members, and is not about to stop.
+// Ready reports whether the host accepts callers: it has a configuration, knows at
+// least one member and is not stopping.
 func (h *Host) Ready() bool {
-	return !h.stopping.Load() && h.registry.Catalog() != nil && h.knowsMembers()
+	return !h.stopping.Load() && h.registry.Catalog() != nil && h.hasMembers()
 }
 
-func (h *Host) knowsMembers() bool {
+func (h *Host) hasMembers() bool {
 	h.mu.RLock()
 	defer h.mu.RUnlock()
 	for _, s := range h.sets {
@@ -246,20 +244,20 @@
 // Catalog implements edge.Backend.
 func (h *Host) Catalog() *catalog.Catalog { return h.registry.Catalog() }
 
-// Set returns the group of a service, or nil while none is known.
+// Set returns the replica set of a service, or nil if none is known.
 func (h *Host) Set(service string) *replicaset.Set {
 	h.mu.RLock()
 	defer h.mu.RUnlock()
 	return h.sets[service]
 }
 
-// reconcile keeps the sets in step with the registry.
+// reconcile updates the sets from the registry whenever it is woken.
 func (h *Host) reconcile(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-h.wake:
+		case <-h.reconcileWake:
 			h.updateSets(ctx)
 		}
 	}
@@ -271,7 +269,7 @@
 		return
 	}
 	hosts := h.registry.Fleet()
-	if !h.knowsFleet(hosts) {
+	if !h.fleetStable(hosts) {
 		return
 	}
 	h.setFleet(h.fleet.Next(hosts))
@@ -281,7 +279,8 @@
 	}
 }
 
-// ensureSet returns the set of a service and starts it if it is new.
+// ensureSet returns the set of a service. It creates and starts the set and its
+// promoter if there is none.
 func (h *Host) ensureSet(ctx context.Context, service string) *replicaset.Set {
 	if s := h.Set(service); s != nil {
 		return s
@@ -289,12 +288,12 @@
 	var p *promoter.Promoter
 	s := replicaset.New(replicaset.Config{
 		Service: service, Dial: h.dial, Proto: h.adapter.Members, Topology: h.settings.Places,
-		DrainTimeout: h.settings.DrainBound, RequestFloor: h.askPeers, OnSuspect: func() { p.Wake() },
-		Remote: h.remote(), Owner: h.owner, Host: h.settings.Host, Disabled: h.settings.Without, Log: h.log,
+		DrainTimeout: h.settings.DrainBound, RequestFloor: h.queryPeersForFloor, OnSuspect: func() { p.Wake() },
+		Remote: h.remote(), Owner: h.owner, Host: h.settings.Host, Disabled: h.settings.Disabled, Log: h.log,
 	})
 	p = promoter.New(promoter.Config{
 		Service: service, Host: h.settings.Host, Set: s, Registry: h.registry, Platform: h.adapter.Promotion, Peers: h,
-		Disabled: h.settings.Without,
+		Disabled: h.settings.Disabled,
 		Spec:     func() catalog.Service { return h.registry.Catalog().Services[service] },
 		Observe:  func(r promoter.Result) { h.metrics.promotion(service, r) }, Log: h.log,
 	})
@@ -306,42 +305,43 @@
 	return s
 }
 
-// promoter returns the promoter of a service, or nil while there is none.
+// promoter returns the promoter of a service, or nil if there is none.
 func (h *Host) promoter(service string) *promoter.Promoter {
 	h.mu.RLock()
 	defer h.mu.RUnlock()
 	return h.promoters[service]
 }
 
-// unusedSlack is how much longer than its caller may rest a transaction is
-// kept for another host, which ends it itself if it lives.
-const unusedSlack = 2 * time.Second
+// remoteTxSlack is added to the idle timeout for transactions of other hosts, which
+// normally end them themselves.
+const remoteTxSlack = 2 * time.Second
 
-// idleCheck is how often transactions that rest for too long are looked for.
-const idleCheck = 500 * time.Millisecond
+// idleCheckInterval is how often the host checks for transactions that exceed the
+// idle timeout.
+const idleCheckInterval = 500 * time.Millisecond
 
-// endIdleTransactions ends the transactions that rest longer than the
-// configuration allows.
-func (h *Host) endIdleTransactions(ctx context.Context) {
-	clock.Every(ctx, idleCheck, func() {
+// abortIdleTransactions rolls back transactions that exceed the configured idle
+// timeout, until ctx is done.
+func (h *Host) abortIdleTransactions(ctx context.Context) {
+	clock.Every(ctx, idleCheckInterval, func() {
 		c := h.registry.Catalog()
 		if c == nil || c.TxIdleTimeout <= 0 {
 			return
 		}
 		now := clock.Now()
-		h.gateway.EndIdle(now - c.TxIdleTimeout)
+		h.gateway.AbortIdleTransactions(now - c.TxIdleTimeout)
 		for _, s := range h.allSets() {
-			s.RollbackUnused(now - c.TxIdleTimeout - unusedSlack)
+			s.RollbackUnused(now - c.TxIdleTimeout - remoteTxSlack)
 		}
 	})
 }
 
-// Failed reports the error that ended a listener by itself.
+// Failed returns a channel that receives the error of a failed listener.
 func (h *Host) Failed() <-chan error { return h.failed }
 
-// Followers returns how many hosts hear of the platform through this one.
+// Followers returns the number of hosts that use this one as their relay.
 func (h *Host) Followers() int { return h.registry.Followers() }
 
-// Known returns how many hosts this one knows to be registered, itself
-// included.
-func (h *Host) Known() int { return len(h.registry.Hosts()) }
+// KnownHosts returns the number of registered hosts known to this one, including
+// itself.
+func (h *Host) KnownHosts() int { return len(h.registry.Hosts()) }
--- a/node/entry/failures_test.go
+++ b/node/entry/failures_test.go
@@ -14,8 +14,8 @@
 	"github.com/dotterelswitch/dotterelswitch/standin/lineplatform"
 )
 
-// TestCrashedPrimaryIsReplaced: every acknowledged write is kept once, and
-// writes go on.
+// TestCrashedPrimaryIsReplaced: each acknowledged write is committed exactly once,
+// and writes resume.
 func TestCrashedPrimaryIsReplaced(t *testing.T) {
 	d := deploy(t, 3, options())
 	var clients []*client
@@ -35,17 +35,17 @@
 				require.Equal(t, 1, d.group.Committed(res.id))
 			}
 			if linecaller.Promised(res.code) {
-				require.Zero(t, d.group.Committed(res.id), "%s is a promise", res.code)
+				require.Zero(t, d.group.Committed(res.id), "%s promises that nothing was committed", res.code)
 			}
 			return res.code == ""
-		}, eventually, poll)
+		}, waitLimit, pollInterval)
 	}
 	require.NotEqual(t, old.ID, d.group.Primary().ID)
 }
 
-// TestMinorityThatLosesThePrimaryDoesNotReplaceIt: one host of three cannot
-// reach the primary; the others' acknowledged writes must survive.
-func TestMinorityThatLosesThePrimaryDoesNotReplaceIt(t *testing.T) {
+// TestMinoritySuspicionDoesNotPromote: one host of three suspects the primary, which
+// must not be replaced.
+func TestMinoritySuspicionDoesNotPromote(t *testing.T) {
 	d := deploy(t, 3, options())
 	primary := d.group.Primary()
 	key := "dotterelswitch/suspects/svc/" + primary.ID + "/host-1"
@@ -54,8 +54,9 @@
 	require.Equal(t, primary.ID, d.group.Primary().ID)
 }
 
-// TestPlannedLeaveLosesNothing: writes run while the primary leaves.
-func TestPlannedLeaveLosesNothing(t *testing.T) {
+// TestPrimaryDrainKeepsAcknowledgedWrites guards against the loss of acknowledged
+// writes while the primary drains.
+func TestPrimaryDrainKeepsAcknowledgedWrites(t *testing.T) {
 	d := deploy(t, 2, options())
 	old := d.group.Primary()
 	stop := make(chan struct{})
@@ -69,18 +70,19 @@
 	require.Eventually(t, func() bool {
 		p := d.group.Primary()
 		return p != nil && p.ID != old.ID
-	}, eventually, poll)
+	}, waitLimit, pollInterval)
 	time.Sleep(200 * time.Millisecond)
 	close(stop)
 	reader := d.connect(0, "strict")
 	for range 2 {
 		for _, id := range <-done {
-			require.Equal(t, []string{"x"}, reader.must("FETCH "+id).rows, "an acknowledged write is gone")
+			require.Equal(t, []string{"x"}, reader.must("FETCH "+id).rows, "acknowledged write lost")
 		}
 	}
 }
 
-// writeUntil writes items of their own and returns those acknowledged.
+// writeUntil writes distinct items until stop is closed and returns the
+// acknowledged ones.
 func writeUntil(c *client, stop chan struct{}) []string {
 	var acknowledged []string
 	for n := 0; ; n++ {
@@ -100,42 +102,41 @@
 	}
 }
 
-// TestHostWithoutAConnectionToThePrimaryReadsByAPeersFloor replays the return
-// of all hosts after a power loss: the dead connections still fill the
-// primary, one host got what was left, and reads must not wait for it.
-func TestHostWithoutAConnectionToThePrimaryReadsByAPeersFloor(t *testing.T) {
+// TestBoundedReadUsesFloorFromPeer: a host gets no connection to the primary because
+// its limit is used up. Bounded reads must use another host's floor.
+func TestBoundedReadUsesFloorFromPeer(t *testing.T) {
 	o := options()
 	o.MaxConnections = 4
 	d := deploy(t, 1, o)
-	lucky := d.connect(0, "own")
-	lucky.must("STORE item x")
-	fillConnections(t, d.group.Primary(), o.MaxConnections)
+	connected := d.connect(0, "own")
+	connected.must("STORE item x")
+	occupyConnections(t, d.group.Primary(), o.MaxConnections)
 	d.addHost()
-	keepFloorFresh(t, lucky)
+	keepFloorFresh(t, connected)
 	require.Equal(t, []string{"x"}, d.connect(1, "bounded").must("FETCH item").rows)
 }
 
-// keepFloorFresh has a session write until the test ends.
+// keepFloorFresh writes periodically through a session until the test ends.
 func keepFloorFresh(t *testing.T, c *client) {
-	stop, ended := make(chan struct{}), make(chan struct{})
+	stop, done := make(chan struct{}), make(chan struct{})
 	go func() {
-		defer close(ended)
+		defer close(done)
 		for {
 			select {
 			case <-stop:
 				return
 			case <-time.After(100 * time.Millisecond):
 			}
-			if _, err := c.try("STORE beat x"); err != nil {
+			if _, err := c.try("STORE heartbeat x"); err != nil {
 				return
 			}
 		}
 	}()
-	t.Cleanup(func() { close(stop); <-ended })
+	t.Cleanup(func() { close(stop); <-done })
 }
 
-// fillConnections takes the connections of a member that are left.
-func fillConnections(t *testing.T, m *lineplatform.Member, limit int) {
+// occupyConnections opens limit connections to a member, to use up the free ones.
+func occupyConnections(t *testing.T, m *lineplatform.Member, limit int) {
 	t.Helper()
 	for range limit {
 		nc, err := net.Dial("tcp", m.Address())
@@ -148,22 +149,21 @@
 	}
 }
 
-// TestDeafWatchLearnsOfAChange: a store that drops its history leaves waiting
-// watches without news.
-func TestDeafWatchLearnsOfAChange(t *testing.T) {
+// TestCompactedWatchLearnsOfConfigChange guards against a watch that blocks for its
+// full timeout after the store has compacted the change it waits for.
+func TestCompactedWatchLearnsOfConfigChange(t *testing.T) {
 	d := deploy(t, 1, options())
 	d.platform.Store.Deafen(true)
-	began := time.Now()
+	startedAt := time.Now()
 	version := d.platform.Configure(routes(7*time.Second), timeout)
 	d.platform.Store.Compact()
 	d.platform.Store.Deafen(false)
-	require.Eventually(t, func() bool { return d.hosts[0].Catalog().Version == version }, eventually, poll)
-	// The shortest bound of a deployment is 3 s; a watch that waits for all of
-	// its 30 s would be far beyond any slowness of the machine.
-	require.Less(t, time.Since(began), 15*time.Second)
+	require.Eventually(t, func() bool { return d.hosts[0].Catalog().Version == version }, waitLimit, pollInterval)
+	// Well below the watch timeout of 30 s, with room for a slow machine.
+	require.Less(t, time.Since(startedAt), 15*time.Second)
 }
 
-func TestServesWhileTheStoreIsAway(t *testing.T) {
+func TestServesDuringStoreOutage(t *testing.T) {
 	for _, outage := range []lineplatform.Outage{lineplatform.Refusing, lineplatform.Silent} {
 		d := deploy(t, 1, options())
 		c := d.connect(0, "own")
@@ -176,13 +176,13 @@
 		}
 		d.platform.Store.Fail(lineplatform.Up)
 		version := d.platform.Configure(routes(7*time.Second), timeout)
-		require.Eventually(t, func() bool { return d.hosts[0].Catalog().Version == version }, eventually, poll)
+		require.Eventually(t, func() bool { return d.hosts[0].Catalog().Version == version }, waitLimit, pollInterval)
 	}
 }
 
-// TestLapsedEntriesAreNotTheEndOfMembers: entries lapse while the store is
-// away, and are back soon after.
-func TestLapsedEntriesAreNotTheEndOfMembers(t *testing.T) {
+// TestExpiredMemberEntriesDoNotInterruptService: the members' entries expire and are
+// registered again; writes must succeed throughout.
+func TestExpiredMemberEntriesDoNotInterruptService(t *testing.T) {
 	d := deploy(t, 1, options())
 	c := d.connect(0, "own")
 	c.must("STORE item x")
@@ -200,19 +200,19 @@
 	c.must("STORE item z")
 }
 
-// TestStopCutsNothing: sessions that are idle are closed, and what runs is
-// answered.
-func TestStopCutsNothing(t *testing.T) {
+// TestStopAnswersRunningStatements: a graceful stop closes idle sessions and answers
+// running statements.
+func TestStopAnswersRunningStatements(t *testing.T) {
 	d := deploy(t, 1, options())
 	idle, busy := d.connect(0, "own"), d.connect(0, "own")
 	stopped := make(chan bool, 1)
 	go func() { stopped <- d.hosts[0].Stop() }()
-	require.Eventually(t, func() bool { return !d.hosts[0].Ready() }, eventually, poll)
+	require.Eventually(t, func() bool { return !d.hosts[0].Ready() }, waitLimit, pollInterval)
 	answered := 0
 	for {
 		res, err := busy.try("STORE item x")
 		if err != nil {
-			require.Zero(t, d.group.Committed(res.id), "a statement that ran got no answer")
+			require.Zero(t, d.group.Committed(res.id), "a committed statement was not answered")
 			break
 		}
 		require.Empty(t, res.code)
@@ -223,22 +223,21 @@
 	require.Error(t, idle.session.AwaitClose())
 }
 
-// TestHostCutFromTheStoreHearsOfChangesFromOthers: the store turns one host
-// away for longer than any bound and serves the other.
-func TestHostCutFromTheStoreHearsOfChangesFromOthers(t *testing.T) {
+// TestHostCutOffFromStoreLearnsConfigFromPeers: one host has no connection to the
+// store and must receive configuration changes from the other.
+func TestHostCutOffFromStoreLearnsConfigFromPeers(t *testing.T) {
 	d := deploy(t, 1, options())
 	d.addHostsBehindProxies(1)
-	cut := d.hosts[1]
+	isolated := d.hosts[1]
 	d.proxies[1].Close()
 	version := d.platform.Configure(routes(7*time.Second), timeout)
-	require.Eventually(t, func() bool { return cut.Catalog().Version == version }, eventually, poll)
+	require.Eventually(t, func() bool { return isolated.Catalog().Version == version }, waitLimit, pollInterval)
 	d.connect(1, "own").must("STORE item x")
 }
 
-// TestLongOutageOfThePrimaryIsRefusedAtOnce: with the store away nothing can
-// replace a dead primary. Statements are held while a promotion could still
-// come, and refused at once after that.
-func TestLongOutageOfThePrimaryIsRefusedAtOnce(t *testing.T) {
+// TestWritesAreRefusedImmediatelyInLongPrimaryOutage: without the store no promotion
+// is possible. Writes wait while one may still happen, then are refused immediately.
+func TestWritesAreRefusedImmediatelyInLongPrimaryOutage(t *testing.T) {
 	d := deploy(t, 1, options())
 	c := d.connect(0, "strict")
 	c.must("STORE item x")
@@ -246,17 +245,17 @@
 	d.group.Primary().Crash()
 	var res result
 	require.Eventually(t, func() bool {
-		began := time.Now()
+		startedAt := time.Now()
 		res = c.do("STORE item y")
-		return res.code == "BUSY" && time.Since(began) < time.Second
-	}, 2*eventually, poll)
+		return res.code == "BUSY" && time.Since(startedAt) < time.Second
+	}, 2*waitLimit, pollInterval)
 	require.Contains(t, res.detail, "retry after")
 	require.Zero(t, d.group.Committed(res.id))
 }
 
-// TestStoppingHostEndsWhatOthersBegan: a host that keeps connections stops
-// while transactions of other hosts are open on them.
-func TestStoppingHostEndsWhatOthersBegan(t *testing.T) {
+// TestStoppingHostCompletesRemoteTransactions: a host stops while other hosts have
+// open transactions on its connections, which must still commit.
+func TestStoppingHostCompletesRemoteTransactions(t *testing.T) {
 	for stopped := range 3 {
 		t.Run(fmt.Sprintf("host %d", stopped), func(t *testing.T) {
 			d := deploy(t, 3, options())
@@ -270,16 +269,16 @@
 				c.must("STORE before x")
 				clients = append(clients, c)
 			}
-			ended := make(chan bool, 1)
-			go func() { ended <- d.hosts[stopped].Stop() }()
-			require.Eventually(t, func() bool { return !d.hosts[stopped].Ready() }, eventually, poll)
+			clean := make(chan bool, 1)
+			go func() { clean <- d.hosts[stopped].Stop() }()
+			require.Eventually(t, func() bool { return !d.hosts[stopped].Ready() }, waitLimit, pollInterval)
 			time.Sleep(time.Second)
 			for _, c := range clients {
 				w := c.must("STORE after x")
 				c.must("COMMIT")
 				require.Equal(t, 1, d.group.Committed(w.id))
 			}
-			require.True(t, <-ended)
+			require.True(t, <-clean)
 		})
 	}
 }
--- a/node/entry/helpers_test.go
+++ b/node/entry/helpers_test.go
@@ -21,10 +21,10 @@
 )
 
 const (
-	// eventually bounds waits for something that must come; it is generous, so
-	// that a busy machine changes no verdict.
-	eventually = 20 * time.Second
-	poll       = 5 * time.Millisecond
+	// waitLimit bounds waits for expected conditions. It is generous to avoid
+	// failures on a busy machine.
+	waitLimit    = 20 * time.Second
+	pollInterval = 5 * time.Millisecond
 	// timeout is the routes' statement timeout in these tests.
 	timeout = 10 * time.Second
 )
@@ -36,15 +36,14 @@
 	group    *lineplatform.Group
 	hosts    []*entry.Host
 	settings []entry.Settings
-	// proxies are the ways to the store of hosts that have one of their own, by
-	// the number of the host.
+	// proxies holds the store proxies of the hosts that have one, by host index.
 	proxies map[int]*faultproxy.Proxy
-	// dial is what hosts that are started next connect with.
+	// dial is used by the hosts that are started next.
 	dial replicaset.DialFunc
-	// tolerance is how exactly hosts that are started next keep the teams' limits,
-	// and logTo where they write; nil for the test's log.
+	// tolerance and logWriter apply to the hosts that are started next. A nil
+	// logWriter selects the test's log.
 	tolerance quota.Tolerance
-	logTo     io.Writer
+	logWriter io.Writer
 }
 
 func options() lineplatform.Options {
@@ -63,7 +62,7 @@
 	return []lineplatform.Route{primary, bounded, own}
 }
 
-// deploy starts a platform and hosts and waits until the hosts are ready.
+// deploy starts a platform and hosts, and waits until the hosts know each other.
 func deploy(t *testing.T, hosts int, o lineplatform.Options) *deployment {
 	t.Helper()
 	d := deployPlatform(t, o)
@@ -71,7 +70,7 @@
 		d.addHost()
 	}
 	for _, h := range d.hosts {
-		require.Eventually(t, func() bool { return h.Known() == hosts }, eventually, poll)
+		require.Eventually(t, func() bool { return h.KnownHosts() == hosts }, waitLimit, pollInterval)
 	}
 	return d
 }
@@ -88,20 +87,20 @@
 	return &deployment{t: t, platform: p, group: g, dial: entry.Dial}
 }
 
-// aimAt has the statements of all routes aim at a latency target and end after a
-// timeout, and waits until that is in force.
-func (d *deployment) aimAt(target, statementTimeout time.Duration) {
+// setLatencyTarget configures the target latency and statement timeout of all routes
+// and waits until the configuration is active.
+func (d *deployment) setLatencyTarget(target, statementTimeout time.Duration) {
 	d.t.Helper()
 	changed := routes(statementTimeout)
 	for i := range changed {
 		changed[i].Target = target
 	}
 	version := d.platform.Configure(changed, timeout)
-	require.Eventually(d.t, func() bool { return d.hosts[0].Catalog().Version == version }, eventually, poll)
+	require.Eventually(d.t, func() bool { return d.hosts[0].Catalog().Version == version }, waitLimit, pollInterval)
 }
 
-// free returns a loopback address that nothing else takes.
-func free(t *testing.T) string {
+// freeAddress returns an unused loopback address.
+func freeAddress(t *testing.T) string {
 	t.Helper()
 	address, err := loopback.FreeAddress()
 	require.NoError(t, err)
@@ -113,7 +112,7 @@
 	return d.addHostWithStore(d.platform.Address())
 }
 
-// addHostsBehindProxies starts hosts with a way to the store of their own.
+// addHostsBehindProxies starts hosts that reach the store through a proxy each.
 func (d *deployment) addHostsBehindProxies(count int) {
 	d.t.Helper()
 	d.proxies = map[int]*faultproxy.Proxy{}
@@ -131,22 +130,23 @@
 func (d *deployment) addHostWithStore(store string) *entry.Host {
 	d.t.Helper()
 	h := d.startHost(store)
-	require.Eventually(d.t, h.Ready, eventually, poll)
+	require.Eventually(d.t, h.Ready, waitLimit, pollInterval)
 	return h
 }
 
-// startHost starts a host that reaches the store at an address.
+// startHost starts a host that reaches the store at an address. It does not wait
+// until the host is ready.
 func (d *deployment) startHost(store string) *entry.Host {
 	d.t.Helper()
 	name := fmt.Sprintf("host-%d", len(d.hosts)+1)
 	s := entry.Settings{
 		Host: name, Places: replicaset.Topology{Zone: "a", Regions: map[string]string{"a": "r", "b": "r", "c": "r"}},
-		CallerAddress: free(d.t), ReadyAddress: free(d.t), PeerAddress: free(d.t), MetricsAddress: free(d.t),
-		MaxSessions: 1000, Workers: 256, Grace: 2 * time.Second, DrainBound: 7 * time.Second,
-		Quota: d.tolerance,
+		CallerAddress: freeAddress(d.t), ReadinessAddress: freeAddress(d.t), PeerAddress: freeAddress(d.t), MetricsAddress: freeAddress(d.t),
+		MaxSessions: 1000, Workers: 256, GracePeriod: 2 * time.Second, DrainBound: 7 * time.Second,
+		QuotaTolerance: d.tolerance,
 	}
 	a := onplatform.Adapter(onplatform.Options{Host: name, Store: store, Promotion: d.platform.Address(), Timeout: time.Second})
-	h, err := entry.Start(s, a, d.dial, zerolog.New(d.logs()))
+	h, err := entry.Start(s, a, d.dial, zerolog.New(d.logOutput()))
 	require.NoError(d.t, err)
 	d.t.Cleanup(h.Kill)
 	d.hosts = append(d.hosts, h)
@@ -154,11 +154,10 @@
 	return h
 }
 
-// logs writes the hosts' lines to the test's log, which is shown on failure, unless
-// the test wants them elsewhere.
-func (d *deployment) logs() io.Writer {
-	if d.logTo != nil {
-		return d.logTo
+// logOutput returns the destination of the hosts' logs.
+func (d *deployment) logOutput() io.Writer {
+	if d.logWriter != nil {
+		return d.logWriter
 	}
 	return zerolog.NewTestWriter(d.t)
 }
@@ -170,7 +169,7 @@
 	name    string
 }
 
-// sessions makes the ids of all clients unique.
+// sessions numbers the clients so that their IDs are unique.
 var sessions atomic.Int64
 
 // connect opens a session on a database through a host.
@@ -183,7 +182,7 @@
 func (d *deployment) connectAs(host int, database, key string) *client {
 	d.t.Helper()
 	name := fmt.Sprintf("%s-%d", database, sessions.Add(1))
-	session, err := linecaller.OpenWithKey(d.settings[host].CallerAddress, database, key, name, eventually)
+	session, err := linecaller.OpenWithKey(d.settings[host].CallerAddress, database, key, name, waitLimit)
 	require.NoError(d.t, err)
 	d.t.Cleanup(session.Close)
 	return &client{t: d.t, session: session, name: name}
@@ -195,7 +194,7 @@
 	rows                               []string
 }
 
-// do runs a statement that must be answered.
+// do runs a statement and requires an answer.
 func (c *client) do(text string) result {
 	c.t.Helper()
 	res, err := c.try(text)
@@ -208,7 +207,7 @@
 	return result{id: a.ID, code: a.Code, detail: a.Detail, signature: a.Signature, state: a.State, rows: a.Rows}, err
 }
 
-// must runs a statement that must succeed.
+// must runs a statement and requires success.
 func (c *client) must(text string) result {
 	c.t.Helper()
 	res := c.do(text)
--- a/node/entry/peers.go
+++ b/node/entry/peers.go
@@ -19,15 +19,15 @@
 )
 
 const (
-	// peerKey tells the deployment's datagrams from others. The platform gives
-	// hosts no secret of their own; its network keeps others out.
-	peerKey = "dotterelswitch"
-	// askAtOnce is how many hosts are asked for a floor: the primary's gates, which
-	// know, and where they are few, unknown or lost some other hosts, one of which
-	// may have had an answer of the primary lately.
-	askAtOnce = 4
-	// askTimeout bounds the wait for their answers.
-	askTimeout = 300 * time.Millisecond
+	// datagramKey identifies datagrams of this system. It is not a secret: the
+	// platform issues none to hosts and isolates their network.
+	datagramKey = "dotterelswitch"
+	// floorQueryFanOut is the number of hosts queried for a floor: the primary's
+	// gates first, then other hosts, which may have a recent answer from the
+	// primary.
+	floorQueryFanOut = 4
+	// peerQueryTimeout bounds the wait for an answer from another host.
+	peerQueryTimeout = 300 * time.Millisecond
 )
 
 func (h *Host) listenPeers() error {
@@ -35,7 +35,7 @@
 	if err != nil {
 		return err
 	}
-	h.peers = gossip.NewTransport(conn, peerKey, h.answerPeer)
+	h.peers = gossip.NewTransport(conn, datagramKey, h.handlePeerMessage)
 	mux := http.NewServeMux()
 	mux.Handle(peer.NewGateServer(h))
 	protocols := new(http.Protocols)
@@ -45,23 +45,23 @@
 
 // RunJob implements peer.GateHandler.
 func (h *Host) RunJob(ctx context.Context, service string, j replicaset.Job) replicaset.Result {
-	h.jobs.Add(1)
-	defer h.jobs.Add(-1)
+	h.remoteJobs.Add(1)
+	defer h.remoteJobs.Add(-1)
 	s := h.AwaitSet(ctx, service, j.Request.StartDeadline)
 	if s == nil {
 		return replicaset.Result{Err: &replicaset.RefusedError{Reason: "the service is not known here"}}
 	}
 	res := s.Execute(ctx, j)
-	if h.settings.Without.Enabled(mechanism.RefusalFloors) {
+	if h.settings.Disabled.Enabled(mechanism.RefusalFloors) {
 		res.Floor, _ = s.Floor()
 	}
 	if res.Err == nil {
 		return res
 	}
-	if leftOut, ok := h.budget.Allow(eventlog.GateJobFailed, clock.Now()); ok {
+	if suppressed, ok := h.budget.Allow(eventlog.GateJobFailed, clock.Now()); ok {
 		eventlog.GateJobFailed.Info(h.log).Str("request", j.Request.Statement.ID).Str("service", service).
 			Str("upstream", j.Member).Str("owner", j.Owner).Bool("handed", res.StatementSent).
-			Dur("waited_ms", res.Waited).Err(res.Err).Int("left_out", leftOut).Send()
+			Dur("waited_ms", res.Waited).Err(res.Err).Int("left_out", suppressed).Send()
 	}
 	return res
 }
@@ -94,8 +94,8 @@
 	return out
 }
 
-// answerPeer tells another host the floors that it asks for.
-func (h *Host) answerPeer(m gossip.Message) gossip.Message {
+// handlePeerMessage processes a datagram from another host and returns the answer.
+func (h *Host) handlePeerMessage(m gossip.Message) gossip.Message {
 	now := clock.Now()
 	var out gossip.Message
 	if q := m.AskLost; q != nil {
@@ -122,49 +122,50 @@
 	return out
 }
 
-// askPeers asks some other hosts for the floor of a service. It does not wait.
-func (h *Host) askPeers(service string) {
-	if !h.settings.Without.Enabled(mechanism.PeerFloors) {
+// queryPeersForFloor starts queries for the floor of a service to other hosts and
+// returns immediately.
+func (h *Host) queryPeersForFloor(service string) {
+	if !h.settings.Disabled.Enabled(mechanism.PeerFloors) {
 		return
 	}
-	for _, address := range h.floorSources(service) {
-		go h.askPeer(address, service)
+	for _, address := range h.floorPeers(service) {
+		go h.queryPeerForFloor(address, service)
 	}
 }
 
-// floorSources returns the hosts to ask for a floor: the primary's gates first,
-// then any others.
-func (h *Host) floorSources(service string) []string {
-	var sources []string
+// floorPeers returns the addresses of the hosts to query for a floor: the primary's
+// gates first, then random others.
+func (h *Host) floorPeers(service string) []string {
+	var addresses []string
 	if s := h.Set(service); s != nil {
-		sources = slices.Clone(s.PrimaryGates())
+		addresses = slices.Clone(s.PrimaryGates())
 	}
 	fleet := h.registry.Fleet()
 	for _, i := range rand.Perm(len(fleet)) {
-		if len(sources) >= askAtOnce {
+		if len(addresses) >= floorQueryFanOut {
 			break
 		}
-		if other := fleet[i]; other.Name != h.settings.Host && !slices.Contains(sources, other.Address) {
-			sources = append(sources, other.Address)
+		if other := fleet[i]; other.Name != h.settings.Host && !slices.Contains(addresses, other.Address) {
+			addresses = append(addresses, other.Address)
 		}
 	}
-	return sources[:min(len(sources), askAtOnce)]
+	return addresses[:min(len(addresses), floorQueryFanOut)]
 }
 
-func (h *Host) askPeer(address, service string) {
-	ctx, cancel := context.WithTimeout(h.ctx, askTimeout)
+func (h *Host) queryPeerForFloor(address, service string) {
+	ctx, cancel := context.WithTimeout(h.ctx, peerQueryTimeout)
 	defer cancel()
-	asked := clock.Now()
-	h.talk.add(talkFloor)
+	sentAt := clock.Now()
+	h.traffic.add(trafficFloor)
 	answer, err := h.peers.Probe(ctx, address, gossip.Message{AskFloors: []string{service}})
 	if err != nil {
-		// Datagrams get lost; the next question goes to other hosts.
-		h.log.Debug().Err(err).Str("peer", address).Msg("a question to a peer had no answer")
+		// Lost datagrams are not resent; the next query goes to other hosts.
+		h.log.Debug().Err(err).Str("peer", address).Msg("floor request failed")
 		return
 	}
 	for _, f := range answer.Floors {
 		if s := h.Set(f.Service); s != nil {
-			s.ObserveFloor(replicaset.FloorFromAge(f.Position, replicaset.Leadership{Primary: f.Primary, Term: f.LeadTerm}, f.Age, asked))
+			s.ObserveFloor(replicaset.FloorFromAge(f.Position, replicaset.Leadership{Primary: f.Primary, Term: f.LeadTerm}, f.Age, sentAt))
 		}
 	}
 }
--- a/node/entry/restored_store_test.go
+++ b/node/entry/restored_store_test.go
@@ -10,26 +10,27 @@
 )
 
 const (
-	// storeAway is how long the store is away before it returns from a copy, and
-	// rewriteAfter when the operators and the members write again.
-	storeAway    = 200 * time.Millisecond
+	// outageTime is how long the store is unavailable before it returns with a
+	// backup, and rewriteAfter is when operators and members write again.
+	outageTime   = 200 * time.Millisecond
 	rewriteAfter = 1500 * time.Millisecond
 )
 
-// TestKeyThatWasTakenAwayDoesNotComeBackWithACopy: on hosts that know better, and on
-// one that starts while the store has the older configuration.
-func TestKeyThatWasTakenAwayDoesNotComeBackWithACopy(t *testing.T) {
+// TestRevokedKeyStaysRevokedAfterStoreRestore: the store is restored from a backup
+// from before a revocation. Running hosts and one that starts then must both refuse
+// the key.
+func TestRevokedKeyStaysRevokedAfterStoreRestore(t *testing.T) {
 	d := deploy(t, 2, options())
 	d.setTeams(schools, clubs)
-	older := d.platform.Store.Copy()
+	backup := d.platform.Store.Copy()
 	d.setTeams(clubs)
-	d.platform.Store.Restore(older)
+	d.platform.Store.Restore(backup)
 	d.startHost(d.platform.Address())
-	require.Eventually(t, func() bool { return d.hosts[2].Catalog() != nil }, eventually, poll)
+	require.Eventually(t, func() bool { return d.hosts[2].Catalog() != nil }, waitLimit, pollInterval)
 	until := time.Now().Add(rewriteAfter)
 	for time.Now().Before(until) {
 		for host := range d.hosts {
-			_, err := linecaller.OpenWithKey(d.settings[host].CallerAddress, "own", "key-schools-1", "revoked", eventually)
+			_, err := linecaller.OpenWithKey(d.settings[host].CallerAddress, "own", "key-schools-1", "revoked", waitLimit)
 			var refused *linecaller.RefusedError
 			require.ErrorAs(t, err, &refused)
 			require.Equal(t, "UNAUTH", refused.Code())
@@ -38,40 +39,41 @@
 	d.connectAs(2, "own", "key-clubs").must("FETCH a")
 }
 
-// TestPrimaryIsReplacedAfterARestore: the copy has no lock, or one that another host
-// held; no two hosts may order a promotion with one token.
-func TestPrimaryIsReplacedAfterARestore(t *testing.T) {
+// TestFailoverDuringStoreRestore: the backup has no lock or one held by another host.
+// Two hosts must not order promotions with the same token.
+func TestFailoverDuringStoreRestore(t *testing.T) {
 	d := deploy(t, 3, options())
-	older := d.platform.Store.Copy()
-	d.writesComeBack()
+	backup := d.platform.Store.Copy()
+	d.awaitWrites()
 	d.awaitLock()
 	for range 2 {
 		restored := make(chan struct{})
 		go func() {
 			defer close(restored)
-			d.platform.RestoreStore(older, storeAway, rewriteAfter)
+			d.platform.RestoreStore(backup, outageTime, rewriteAfter)
 		}()
-		time.Sleep(2 * storeAway)
+		time.Sleep(2 * outageTime)
 		old := d.group.Primary()
 		old.Crash()
-		d.callersFindANewPrimary(old, 0, 1, 2)
+		d.requireFailover(old, 0, 1, 2)
 		<-restored
 		require.NoError(t, old.Restart())
-		older = d.platform.Store.Copy()
+		backup = d.platform.Store.Copy()
 	}
 	require.Zero(t, d.platform.SharedTokens())
 }
 
-// TestServiceGoesOnWhileTheStoreReturnsFromACopy: no caller is refused for it.
-func TestServiceGoesOnWhileTheStoreReturnsFromACopy(t *testing.T) {
+// TestServesDuringStoreRestore: no statement fails while the store is restored from a
+// backup.
+func TestServesDuringStoreRestore(t *testing.T) {
 	d := deploy(t, 3, options())
-	d.writesComeBack()
-	older := d.platform.Store.Copy()
+	d.awaitWrites()
+	backup := d.platform.Store.Copy()
 	time.Sleep(time.Second)
 	restored := make(chan struct{})
 	go func() {
 		defer close(restored)
-		d.platform.RestoreStore(older, storeAway, rewriteAfter)
+		d.platform.RestoreStore(backup, outageTime, rewriteAfter)
 	}()
 	callers := []*client{d.connect(0, "own"), d.connect(1, "strict"), d.connect(2, "bounded")}
 	for running := true; running; {
--- a/node/entry/show_test.go
+++ b/node/entry/show_test.go
@@ -15,9 +15,8 @@
 	"github.com/dotterelswitch/dotterelswitch/standin/lineplatform"
 )
 
-// TestHostShowsWhatItHolds: an operator sees the sessions, the configuration,
-// the store, the lock and each upstream of a running host.
-func TestHostShowsWhatItHolds(t *testing.T) {
+// TestShowReportsHostState covers sessions, configuration, store, lock and upstreams.
+func TestShowReportsHostState(t *testing.T) {
 	d := deploy(t, 2, options())
 	c := d.connect(0, "strict")
 	c.must("STORE item x")
@@ -32,7 +31,7 @@
 	require.Len(t, s.Services, 1)
 	svc := s.Services[0]
 	require.Equal(t, d.group.Primary().ID, svc.Primary)
-	require.NotNil(t, svc.Floor, "a write has shown the end of the log")
+	require.NotNil(t, svc.Floor, "the write determined a floor")
 	require.Len(t, svc.Upstreams, 3)
 	for _, u := range svc.Upstreams {
 		require.False(t, u.Dead)
@@ -40,27 +39,27 @@
 			require.NotZero(t, u.Connections)
 		}
 	}
-	require.Eventually(t, func() bool { return d.show(0).Services[0].Lock.Holder != "" }, eventually, poll)
+	require.Eventually(t, func() bool { return d.show(0).Services[0].Lock.Holder != "" }, waitLimit, pollInterval)
 }
 
-// TestDeadUpstreamIsShown: what a host believes of a silent primary and of a
-// lost store is visible while it lasts.
-func TestDeadUpstreamIsShown(t *testing.T) {
+// TestShowReportsFailingUpstreamAndStoreOutage: a failed primary and a store outage
+// are shown while they last.
+func TestShowReportsFailingUpstreamAndStoreOutage(t *testing.T) {
 	d := deploy(t, 1, options())
 	c := d.connect(0, "strict")
 	c.must("STORE item x")
 	old := d.group.Primary().ID
 	d.group.Primary().Crash()
 	require.Eventually(t, func() bool {
-		// Only traffic shows the loss of a primary.
+		// The loss of a primary is detected by traffic only.
 		c.do("FETCH item")
 		svc := d.show(0).Services[0]
 		return svc.Primary != old && upstream(svc, old).Failing
-	}, eventually, poll)
+	}, waitLimit, pollInterval)
 	d.platform.Store.Fail(lineplatform.Refusing)
-	require.Eventually(t, func() bool { return d.show(0).Store.Away }, eventually, poll)
+	require.Eventually(t, func() bool { return d.show(0).Store.Away }, waitLimit, pollInterval)
 	d.platform.Store.Fail(lineplatform.Up)
-	require.Eventually(t, func() bool { return !d.show(0).Store.Away }, eventually, poll)
+	require.Eventually(t, func() bool { return !d.show(0).Store.Away }, waitLimit, pollInterval)
 }
 
 func upstream(s *inspectpb.Service, name string) *inspectpb.Upstream {
@@ -72,9 +71,9 @@
 	return &inspectpb.Upstream{}
 }
 
-// TestCallsAndPromotionsAreCounted reads the metrics page with the usual
-// library and looks for the calls to the store and the promotion.
-func TestCallsAndPromotionsAreCounted(t *testing.T) {
+// TestMetricsCountStoreCallsAndPromotions parses the metrics page with the Prometheus
+// library.
+func TestMetricsCountStoreCallsAndPromotions(t *testing.T) {
 	d := deploy(t, 1, options())
 	c := d.connect(0, "strict")
 	c.must("STORE item x")
@@ -86,10 +85,10 @@
 			sum(t, page, "dotterelswitch_store_calls", "call", "watch") > 0 &&
 			sum(t, page, "dotterelswitch_store_calls", "call", "grant_lease") == 1 &&
 			sum(t, page, "dotterelswitch_store_calls", "result", "ok") > 0
-	}, eventually, 10*poll)
+	}, waitLimit, 10*pollInterval)
 }
 
-// show asks a host to describe itself.
+// show returns a host's answer to an inspection request.
 func (d *deployment) show(host int) *inspectpb.ShowResponse {
 	d.t.Helper()
 	s, err := inspect.Show(context.Background(), http.DefaultClient, d.settings[host].MetricsAddress)
@@ -108,7 +107,7 @@
 	return string(body)
 }
 
-// sum adds up the values of a counter that have a label.
+// sum returns the sum of a counter over the series with the given label.
 func sum(t *testing.T, page, name, label, value string) float64 {
 	t.Helper()
 	var parser expfmt.TextParser
--- a/node/entry/teams_test.go
+++ b/node/entry/teams_test.go
@@ -15,23 +15,23 @@
 	"github.com/dotterelswitch/dotterelswitch/standin/lineplatform"
 )
 
-// The teams of these tests.
 var (
 	schools = lineplatform.Team{Name: "schools", Keys: []string{"key-schools-1", "key-schools-2"}}
 	clubs   = lineplatform.Team{Name: "clubs", Keys: []string{"key-clubs"}}
 )
 
-// setTeams has callers asked for a key, on all hosts.
+// setTeams configures teams, so that callers need a key, and waits until that is
+// active on all hosts.
 func (d *deployment) setTeams(teams ...lineplatform.Team) {
 	d.t.Helper()
 	d.platform.SetTeams(teams...)
 	version := d.platform.Configure(routes(timeout), timeout)
 	for _, h := range d.hosts {
-		require.Eventually(d.t, func() bool { return h.Catalog().Version == version }, eventually, poll)
+		require.Eventually(d.t, func() bool { return h.Catalog().Version == version }, waitLimit, pollInterval)
 	}
 }
 
-func TestMembersAreToldTheTeamNeverTheKey(t *testing.T) {
+func TestMembersReceiveTeamNotKey(t *testing.T) {
 	d := deploy(t, 2, options())
 	d.setTeams(schools, clubs)
 	want := map[string]string{}
@@ -58,15 +58,15 @@
 func TestUnknownKeyIsRefusedAtLogin(t *testing.T) {
 	d := deploy(t, 1, options())
 	d.setTeams(schools)
-	_, err := linecaller.OpenWithKey(d.settings[0].CallerAddress, "own", "key-of-nobody", "x", eventually)
+	_, err := linecaller.OpenWithKey(d.settings[0].CallerAddress, "own", "key-of-nobody", "x", waitLimit)
 	var refused *linecaller.RefusedError
 	require.ErrorAs(t, err, &refused)
 	require.Equal(t, "UNAUTH", refused.Code())
 }
 
-// TestKeyThatIsTakenAwayEndsOpenSessions: a session that was open before, and a
-// transaction in it, get nothing more run; other keys of the team stay.
-func TestKeyThatIsTakenAwayEndsOpenSessions(t *testing.T) {
+// TestRevokedKeyIsRefusedInOpenSessions: a revoked key is refused in open sessions and
+// transactions; other keys of the team stay valid.
+func TestRevokedKeyIsRefusedInOpenSessions(t *testing.T) {
 	d := deploy(t, 1, options())
 	d.setTeams(schools, clubs)
 	idle, open, other := d.connectAs(0, "own", "key-schools-1"), d.connectAs(0, "own", "key-schools-1"), d.connectAs(0, "own", "key-schools-2")
@@ -75,19 +75,19 @@
 	open.must("BEGIN")
 	written := open.must("STORE a x").id
 
-	left := schools
-	left.Keys = schools.Keys[1:]
-	d.setTeams(left, clubs)
+	remaining := schools
+	remaining.Keys = schools.Keys[1:]
+	d.setTeams(remaining, clubs)
 	require.Equal(t, "UNAUTH", idle.do("FETCH a").code)
 	refused := open.do("COMMIT")
 	require.Equal(t, "UNAUTH", refused.code)
-	require.Equal(t, "I", refused.state, "the transaction has ended")
+	require.Equal(t, "I", refused.state, "the transaction must have ended")
 	require.Equal(t, 0, d.group.Committed(written))
 	other.must("FETCH a")
 }
 
-// TestRevokedTransactionIsRolledBack: the rollback that a caller sends after the
-// refusal ends its transaction.
+// TestRevokedTransactionIsRolledBack: a caller whose key was revoked can still end its
+// transaction with a rollback.
 func TestRevokedTransactionIsRolledBack(t *testing.T) {
 	d := deploy(t, 1, options())
 	d.setTeams(schools, clubs)
@@ -99,21 +99,21 @@
 	require.Equal(t, "I", c.must("ROLLBACK").state)
 }
 
-// tolerance is by how much a team may exceed its limit in these tests.
+// tolerance is the permitted excess over a team's limit.
 var tolerance = quota.Tolerance{Window: time.Second, Share: 0.1, Operations: 20}
 
-// TestHotTeamIsLimitedOverAllHosts: a team asks three hosts for many times its
-// limit. In no window more run than may; what is refused has not run and says when
-// to come back; another team is served all the while.
-func TestHotTeamIsLimitedOverAllHosts(t *testing.T) {
+// TestTeamLimitHoldsAcrossHosts: a team exceeds its limit through three hosts. No time
+// window may contain more operations than permitted, refusals must carry a retry
+// delay, and another team must not be affected.
+func TestTeamLimitHoldsAcrossHosts(t *testing.T) {
 	d := deployPlatform(t, options())
 	d.tolerance = tolerance
 	for range 3 {
 		d.addHost()
 	}
-	hot := schools
-	hot.Rate, hot.Burst = 20, 20
-	d.setTeams(hot, clubs)
+	limited := schools
+	limited.Rate, limited.Burst = 20, 20
+	d.setTeams(limited, clubs)
 	var wg sync.WaitGroup
 	until := time.Now().Add(4 * time.Second)
 	refused := make([]int, len(d.hosts))
@@ -135,9 +135,9 @@
 			}
 		})
 	}
-	quiet := d.connectAs(0, "bounded", "key-clubs")
+	unaffected := d.connectAs(0, "bounded", "key-clubs")
 	for range 20 {
-		quiet.must("FETCH b")
+		unaffected.must("FETCH b")
 		time.Sleep(20 * time.Millisecond)
 	}
 	wg.Wait()
@@ -145,16 +145,17 @@
 		require.Positive(t, n, "host %d", host)
 	}
 	all := map[string]time.Time{}
-	for _, of := range sent {
-		maps.Copy(all, of)
+	for _, byID := range sent {
+		maps.Copy(all, byID)
 	}
-	most := busiestWindow(d.group.Runs(), all, tolerance.Window)
-	require.LessOrEqual(t, float64(most), (20+20)*1.1+20)
-	require.GreaterOrEqual(t, most, 30, "what the limit allows is served")
+	busiest := busiestWindow(d.group.Runs(), all, tolerance.Window)
+	require.LessOrEqual(t, float64(busiest), (20+20)*1.1+20)
+	require.GreaterOrEqual(t, busiest, 30, "operations within the limit must be served")
 }
 
-// TestTransactionIsOneOperation: its statements are not counted one by one.
-func TestTransactionIsOneOperation(t *testing.T) {
+// TestTransactionCountsAsOneOperation guards against counting each statement of a
+// transaction against the limit.
+func TestTransactionCountsAsOneOperation(t *testing.T) {
 	d := deployPlatform(t, options())
 	d.tolerance = quota.Tolerance{Window: 5 * time.Second}
 	d.addHost()
@@ -169,17 +170,17 @@
 		}
 		c.must("ROLLBACK")
 		return false
-	}, eventually, 50*time.Millisecond)
+	}, waitLimit, 50*time.Millisecond)
 	for range 50 {
 		c.must("STORE a x")
 	}
 	c.must("COMMIT")
 }
 
-// busiestWindow returns the most statements that were both sent and run in one
-// window: one that waits for a connection belongs to the windows that hold both.
+// busiestWindow returns the largest number of statements that were both sent and run
+// within one window.
 func busiestWindow(runs []lineplatform.Run, sent map[string]time.Time, window time.Duration) int {
-	most := 0
+	busiest := 0
 	for _, start := range sent {
 		n := 0
 		for _, r := range runs {
@@ -188,38 +189,38 @@
 				n++
 			}
 		}
-		most = max(most, n)
+		busiest = max(busiest, n)
 	}
-	return most
+	return busiest
 }
 
-// lockedLog is a log that several goroutines write.
-type lockedLog struct {
+// syncLog is a log buffer that is safe for concurrent use.
+type syncLog struct {
 	mu   sync.Mutex
 	text strings.Builder
 }
 
-func (l *lockedLog) Write(p []byte) (int, error) {
+func (l *syncLog) Write(p []byte) (int, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.text.Write(p)
 }
 
-func (l *lockedLog) String() string {
+func (l *syncLog) String() string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.text.String()
 }
 
-// TestLogsShowNoKey: neither a served, a refused nor a revoked caller's.
-func TestLogsShowNoKey(t *testing.T) {
-	log := &lockedLog{}
+// TestLogsDoNotContainKeys covers a served, a refused and a revoked caller.
+func TestLogsDoNotContainKeys(t *testing.T) {
+	log := &syncLog{}
 	d := deploy(t, 1, options())
-	d.logTo = log
+	d.logWriter = log
 	d.addHost()
 	d.setTeams(schools, clubs)
 	d.connectAs(1, "own", "key-schools-1").must("FETCH a")
-	_, err := linecaller.OpenWithKey(d.settings[1].CallerAddress, "own", "key-of-nobody", "x", eventually)
+	_, err := linecaller.OpenWithKey(d.settings[1].CallerAddress, "own", "key-of-nobody", "x", waitLimit)
 	require.Error(t, err)
 	d.setTeams(clubs)
 	d.hosts[1].Kill()
@@ -230,9 +231,9 @@
 	}
 }
 
-// TestOperatorSeesTeams: who uses the host, within which limit, who counts it, and
-// what was refused, without a key.
-func TestOperatorSeesTeams(t *testing.T) {
+// TestShowReportsTeams: the inspection API reports the teams' usage, limits, counting
+// hosts and refusals, but no keys.
+func TestShowReportsTeams(t *testing.T) {
 	d := deployPlatform(t, options())
 	d.tolerance = quota.Tolerance{Window: time.Second}
 	d.addHost()
@@ -241,7 +242,7 @@
 	d.setTeams(limited, clubs)
 	c := d.connectAs(0, "strict", "key-schools-1")
 	served, refused := 0, 0
-	for until := time.Now().Add(eventually); (served == 0 || refused == 0) && time.Now().Before(until); {
+	for until := time.Now().Add(waitLimit); (served == 0 || refused == 0) && time.Now().Before(until); {
 		if c.do("FETCH a").code == "" {
 			served++
 		} else {
@@ -266,5 +267,5 @@
 	require.Eventually(t, func() bool {
 		m := d.metrics(0)
 		return strings.Contains(m, `team="schools"`) && strings.Contains(m, "dotterelswitch_operations")
-	}, eventually, poll)
+	}, waitLimit, pollInterval)
 }
--- a/node/entry/groups.go
+++ b/node/entry/ticker.go
@@ -8,20 +8,19 @@
 	"github.com/dotterelswitch/dotterelswitch/node/replicaset"
 )
 
-// ticksPerTidy is how many glances at the promoters go by until connections are
-// looked over.
-const ticksPerTidy = int(replicaset.TickInterval / promoter.CheckInterval)
+// ticksPerPoolCheck is the number of promoter ticks per tick of the replica sets.
+const ticksPerPoolCheck = int(replicaset.TickInterval / promoter.CheckInterval)
 
-// watchGroups looks at all groups by one clock, until the context ends: a timer a
-// group would wake the host for each.
-func (h *Host) watchGroups(ctx context.Context) {
+// tickGroups ticks all promoters and replica sets until ctx is done. One shared
+// ticker avoids a timer wake-up per group.
+func (h *Host) tickGroups(ctx context.Context) {
 	ticks := 0
 	clock.Every(ctx, promoter.CheckInterval, func() {
 		now := clock.Now()
 		for _, p := range h.allPromoters() {
 			p.Tick(now)
 		}
-		if ticks++; ticks%ticksPerTidy != 0 {
+		if ticks++; ticks%ticksPerPoolCheck != 0 {
 			return
 		}
 		for _, s := range h.allSets() {
--- /dev/null
+++ b/node/entry/traffic.go
@@ -0,0 +1,93 @@
+package entry
+
+import (
+	"context"
+	"maps"
+	"sync"
+	"time"
+
+	"github.com/dotterelswitch/dotterelswitch/node/clock"
+	"github.com/dotterelswitch/dotterelswitch/node/eventlog"
+	"github.com/dotterelswitch/dotterelswitch/node/registry"
+)
+
+// trafficLogInterval is how often a host logs its control traffic.
+const trafficLogInterval = 5 * time.Second
+
+// The purposes of datagrams to other hosts, and the prefix for calls to the store,
+// which are counted by name and result.
+const (
+	trafficFloor        = "datagram floor"
+	trafficOpinion      = "datagram opinion"
+	trafficAnnouncement = "datagram announcement"
+	trafficLiveness     = "datagram alive"
+	trafficQuota        = "datagram quota"
+	trafficStorePrefix  = "store "
+)
+
+// How statements obtained a connection to a member.
+const (
+	connectionReused  = "connection found"
+	connectionOpened  = "connection opened"
+	connectionEvicted = "connection closed for another team"
+)
+
+// trafficCounts counts control messages by purpose. It is safe for concurrent use.
+type trafficCounts struct {
+	mu     sync.Mutex
+	counts map[string]int
+}
+
+func newTrafficCounts() *trafficCounts { return &trafficCounts{counts: map[string]int{}} }
+
+func (c *trafficCounts) add(purpose string) { c.addMany(purpose, 1) }
+
+func (c *trafficCounts) addMany(purpose string, n int) {
+	if n == 0 {
+		return
+	}
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.counts[purpose] += n
+}
+
+// take returns the counts and resets them.
+func (c *trafficCounts) take() map[string]int {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	out := maps.Clone(c.counts)
+	clear(c.counts)
+	return out
+}
+
+// countConnections adds the pools' connection counts to the traffic counts and the
+// metrics.
+func (h *Host) countConnections() {
+	for _, s := range h.allSets() {
+		c := s.TakeConnectionCounts()
+		h.traffic.addMany(connectionReused, c.Reused)
+		h.traffic.addMany(connectionOpened, c.Opened)
+		h.traffic.addMany(connectionEvicted, c.Evicted)
+		h.metrics.connections(s.Service(), c)
+	}
+}
+
+// logTraffic periodically logs the control traffic until ctx is done, and once more
+// then.
+func (h *Host) logTraffic(ctx context.Context) {
+	clock.Every(ctx, trafficLogInterval, h.writeTrafficLine)
+	h.writeTrafficLine()
+}
+
+// recordStoreCall counts a call to the platform's store.
+func (h *Host) recordStoreCall(call registry.CallName, result string) {
+	h.metrics.storeCall(call, result)
+	h.traffic.add(trafficStorePrefix + string(call) + " " + result)
+}
+
+func (h *Host) writeTrafficLine() {
+	h.countConnections()
+	if counts := h.traffic.take(); len(counts) > 0 {
+		eventlog.TalkCounted.Info(h.log).Interface("talk", counts).Send()
+	}
+}
--- a/node/host/host.go
+++ b/node/host/host.go
@@ -242,7 +242,7 @@
 	s := h.opts.Settings
 	go func() { h.gatewayDone <- h.gateway.Run() }()
 	select {
-	case <-h.gateway.Booted():
+	case <-h.gateway.Listening():
 	case err := <-h.gatewayDone:
 		return err
 	}
--- a/node/owner/execute.go
+++ b/node/owner/execute.go
@@ -36,19 +36,19 @@
 	if refusal != nil {
 		return request.Refused(refusal)
 	}
-	if req.Transaction != 0 {
+	if req.TransactionID != 0 {
 		return o.continueTransaction(ctx, p, req)
 	}
 	if !p.beginRequest() {
 		return request.Refused(outcome.Refuse(outcome.Draining, "the pool of %s is being handed over", req.Upstream))
 	}
-	requirement := group.ReadRequirement{Token: req.Token, Staleness: req.Staleness, ArrivedAt: p.watcher.Now()}
+	requirement := group.ReadRequirement{Token: req.MinPosition, Staleness: req.MaxStaleness, ArrivedAt: p.watcher.Now()}
 	if refusal := o.eligible(ctx, p, req, requirement); refusal != nil {
 		p.endRequest()
 		return request.Refused(refusal)
 	}
 	resp := o.runNew(ctx, p, req, requirement)
-	if resp.Transaction == 0 {
+	if resp.TransactionID == 0 {
 		p.endRequest()
 	}
 	return resp
@@ -60,7 +60,7 @@
 	if o.draining(p.spec.Name) {
 		return outcome.Refuse(outcome.Draining, "upstream %s is leaving", p.spec.Name)
 	}
-	if req.Write {
+	if req.NeedsPrimary {
 		return o.requirePrimary(p)
 	}
 	verdict, primary := group.Unknown, false
@@ -70,7 +70,7 @@
 		primary = found && st.Member == p.spec.Name && !v.Failing(st.Member)
 		return verdict == group.Eligible || verdict == group.Ahead || (primary && verdict != group.Unknown)
 	}
-	waitCtx, cancel := context.WithTimeout(ctx, req.Wait)
+	waitCtx, cancel := context.WithTimeout(ctx, req.CatchUpWait)
 	defer cancel()
 	p.watcher.Inspect(func(v *group.View, now time.Duration) { evaluate(v, now) })
 	if verdict != group.Eligible && !primary {
@@ -132,9 +132,9 @@
 	if resp == nil {
 		resp = &request.Response{Frames: answer.Frames, TxStatus: answer.TxStatus, Position: answer.Position}
 	}
-	resp.Queue, resp.Service = started.Sub(arrived), took
+	resp.QueueTime, resp.ServiceTime = started.Sub(arrived), took
 	if answer.TxStatus != 0 && answer.TxStatus != 'I' {
-		resp.Transaction = o.txns.add(req.Sender, p, conn)
+		resp.TransactionID = o.txns.add(req.Sender, p, conn)
 		return resp
 	}
 	p.releaseConn(conn)
@@ -145,7 +145,7 @@
 // through the ledger. The response is non-nil if the answer must not be passed on
 // unchanged.
 func (o *Owner) send(ctx context.Context, p *pool, conn *upstream.Conn, req *request.Request) (upstream.Answer, *request.Response) {
-	if req.Key != "" {
+	if req.IdempotencyKey != "" {
 		return o.sendKeyed(ctx, conn, req)
 	}
 	answer, err := conn.Run(ctx, req.Frames)
@@ -188,13 +188,13 @@
 		// Nothing was read or committed, as for a Describe or an error.
 		return resp
 	}
-	resp.ForkCrossed = o.forkCrossed(p, req.Token)
+	resp.ForkCrossed = o.forkCrossed(p, req.MinPosition)
 	if req.MayCommit {
 		resp = o.confirmWrite(ctx, p, resp, answer)
 	} else {
 		resp = o.confirmRead(ctx, p, requirement, resp)
 	}
-	if resp.Refusal == nil && !req.MayCommit && o.tokenAhead(p, req.Token, resp.Position) {
+	if resp.Refusal == nil && !req.MayCommit && o.tokenAhead(p, req.MinPosition, resp.Position) {
 		return request.Refused(outcome.Refuse(outcome.TokenAhead, ""))
 	}
 	return resp
--- a/node/owner/keyed.go
+++ b/node/owner/keyed.go
@@ -21,7 +21,7 @@
 // row in one transaction. If the row exists, the request has run already and its
 // stored answer is returned.
 func (o *Owner) sendKeyed(ctx context.Context, conn *upstream.Conn, req *request.Request) (upstream.Answer, *request.Response) {
-	key, err := ledger.ParseKey(req.Key)
+	key, err := ledger.ParseKey(req.IdempotencyKey)
 	if err != nil {
 		return upstream.Answer{}, request.Refused(outcome.Refuse(outcome.ProtocolViolation, "%v", err))
 	}
