--- a/node/entry/entry.go
+++ b/node/entry/entry.go
@@ -71,23 +71,23 @@
 
 // Host is one running entry host.
 type Host struct {
-	settings Settings
-	adapter  Adapter
-	log      zerolog.Logger
-	dial     replicaset.DialFunc
-	registry *registry.Registry
-	gateway  *edge.Gateway
-	metrics  *hostMetrics
-	budget   *eventlog.Budget
-	reads    readCounts
-	traffic  *trafficCounts
-	ctx      context.Context
-	cancel   context.CancelFunc
-	wg       sync.WaitGroup
-	servers  []*http.Server
-	peers    *gossip.Transport
-	gates    *peer.GateClient
-	limiter  *limits.Limiter
+	settings  Settings
+	adapter   Adapter
+	log       zerolog.Logger
+	dial      replicaset.DialFunc
+	registry  *registry.Registry
+	gateway   *edge.Gateway
+	metrics   *hostMetrics
+	logBudget *eventlog.Budget
+	reads     readCounts
+	traffic   *trafficCounts
+	ctx       context.Context
+	cancel    context.CancelFunc
+	wg        sync.WaitGroup
+	servers   []*http.Server
+	peers     *gossip.Transport
+	gates     *peer.GateClient
+	limiter   *limits.Limiter
 	// livenessProbes deduplicates concurrent liveness checks of one address.
 	livenessProbes singleflight.Group
 	startedAt      time.Duration
@@ -116,7 +116,7 @@
 	h := &Host{
 		settings: s, adapter: a, dial: dial, log: log.With().Str("host", s.Host).Logger(),
 		reconcileWake: make(chan struct{}, 1), failed: make(chan error, 1), sets: map[string]*replicaset.Set{}, promoters: map[string]*promoter.Promoter{},
-		metrics: newHostMetrics(), budget: eventlog.NewBudget(), traffic: newTrafficCounts(), startedAt: clock.Now(), fleet: gates.NewFleet(nil, s.Places.Regions),
+		metrics: newHostMetrics(), logBudget: eventlog.NewBudget(), traffic: newTrafficCounts(), startedAt: clock.Now(), fleet: gates.NewFleet(nil, s.Places.Regions),
 	}
 	h.ctx, h.cancel = context.WithCancel(context.Background())
 	h.owner = fmt.Sprintf("%s@%d", s.Host, clock.Now())
@@ -162,7 +162,7 @@
 
 func (h *Host) newGateway() error {
 	g, err := edge.New(edge.Config{
-		Address: h.settings.CallerAddress, MaxSessions: h.settings.MaxSessions, Workers: h.settings.Workers, Log: h.log, LogBudget: h.budget,
+		Address: h.settings.CallerAddress, MaxSessions: h.settings.MaxSessions, Workers: h.settings.Workers, Log: h.log, LogBudget: h.logBudget,
 	}, h.adapter.Callers, h, h)
 	if err != nil {
 		return err
--- a/node/entry/failures_test.go
+++ b/node/entry/failures_test.go
@@ -127,7 +127,7 @@
 				return
 			case <-time.After(100 * time.Millisecond):
 			}
-			if _, err := c.try("STORE heartbeat x"); err != nil {
+			if _, err := c.try("STORE beat x"); err != nil {
 				return
 			}
 		}
--- a/node/entry/metrics.go
+++ b/node/entry/metrics.go
@@ -95,7 +95,7 @@
 	m.Gauge("platform_revision", float64(st.Revision.Number()))
 	m.Gauge("platform_heard_seconds", st.Heard.Seconds())
 	m.Gauge("platform_followers", float64(st.Followers))
-	m.Gauge("log_lines_left_out", float64(h.budget.LeftOut()))
+	m.Gauge("log_lines_left_out", float64(h.logBudget.LeftOut()))
 	for _, s := range h.allSets() {
 		st := s.Stats(now)
 		m.ServiceGauge("connections", s.Service(), float64(st.Connections))
--- a/node/entry/observe.go
+++ b/node/entry/observe.go
@@ -18,7 +18,7 @@
 	} else if r.Outcome.Member == "" {
 		return
 	}
-	suppressed, ok := h.budget.Allow(event, clock.Now())
+	suppressed, ok := h.logBudget.Allow(event, clock.Now())
 	if !ok {
 		return
 	}
--- a/node/entry/peers.go
+++ b/node/entry/peers.go
@@ -58,7 +58,7 @@
 	if res.Err == nil {
 		return res
 	}
-	if suppressed, ok := h.budget.Allow(eventlog.GateJobFailed, clock.Now()); ok {
+	if suppressed, ok := h.logBudget.Allow(eventlog.GateJobFailed, clock.Now()); ok {
 		eventlog.GateJobFailed.Info(h.log).Str("request", j.Work.Statement.ID).Str("service", service).
 			Str("upstream", j.Member).Str("owner", j.Owner).Bool("handed", res.Handed).
 			Dur("waited_ms", res.Waited).Err(res.Err).Int("left_out", suppressed).Send()
--- a/node/entry/restored_store_test.go
+++ b/node/entry/restored_store_test.go
@@ -17,7 +17,7 @@
 )
 
 // TestRevokedKeyStaysRevokedAfterStoreRestore: the store is restored from a backup
-// from before a revocation. Running hosts and one that starts then must both refuse
+// older than a revocation. Running hosts and one that starts then must both refuse
 // the key.
 func TestRevokedKeyStaysRevokedAfterStoreRestore(t *testing.T) {
 	d := deploy(t, 2, options())
--- a/node/gateway/gateway.go
+++ b/node/gateway/gateway.go
@@ -166,7 +166,7 @@
 	g.mu.Lock()
 	var slow []*session
 	for _, s := range g.sessions {
-		if !s.started.Load() && time.Since(s.opened) > g.cfg.StartupTimeout {
+		if !s.started.Load() && time.Since(s.connectedAt) > g.cfg.StartupTimeout {
 			slow = append(slow, s)
 		}
 	}
--- a/node/gateway/session.go
+++ b/node/gateway/session.go
@@ -27,13 +27,13 @@
 
 // session is one caller's connection.
 type session struct {
-	gateway *Gateway
-	conn    gnet.Conn
-	remote  string
-	opened  time.Time
-	pid     uint32
-	secret  uint32
-	started atomic.Bool
+	gateway     *Gateway
+	conn        gnet.Conn
+	remote      string
+	connectedAt time.Time
+	pid         uint32
+	secret      uint32
+	started     atomic.Bool
 	// credential is the key given at login; awaitingPassword is set after it was
 	// requested. Only the running worker accesses them.
 	credential       catalog.Credential
@@ -74,7 +74,7 @@
 func newSession(g *Gateway, c gnet.Conn) *session {
 	ctx, cancel := context.WithCancel(context.Background())
 	return &session{
-		gateway: g, conn: c, remote: c.RemoteAddr().String(), opened: time.Now(),
+		gateway: g, conn: c, remote: c.RemoteAddr().String(), connectedAt: time.Now(),
 		ctx: ctx, cancel: cancel, framer: framer{limit: g.cfg.MaxMessage},
 		status: txIdle, timeout: g.cfg.StatementTimeout,
 		prepared: make(map[string]preparedStatement),
