--- a/node/entry/busy_primary_test.go
+++ b/node/entry/busy_primary_test.go
@@ -20,12 +20,12 @@
 	c.must("STORE item x")
 	c.must("FETCH item")
 	primary := d.group.Primary()
-	require.Zero(t, primary.Abandoned())
-	primary.RefuseNext(1 << 20)
+	require.Zero(t, primary.AbandonedConns())
+	primary.RefuseStatements(1 << 20)
 	require.Equal(t, "BUSY", c.do("FETCH item").code)
-	primary.RefuseNext(0)
+	primary.RefuseStatements(0)
 	c.must("FETCH item")
 	// The pool may have opened and regularly closed another connection; only
 	// abandoned ones count, and the member detects those with a delay.
-	require.Never(t, func() bool { return primary.Abandoned() > 0 }, abandonDetectionTime, pollInterval, "a connection was abandoned")
+	require.Never(t, func() bool { return primary.AbandonedConns() > 0 }, abandonDetectionTime, pollInterval, "a connection was abandoned")
 }
--- a/node/entry/failures_test.go
+++ b/node/entry/failures_test.go
@@ -32,10 +32,10 @@
 			res, err := c.try(fmt.Sprintf("STORE after-%d x", i))
 			require.NoError(t, err)
 			if res.code == "" {
-				require.Equal(t, 1, d.group.Committed(res.id))
+				require.Equal(t, 1, d.group.CommitCount(res.id))
 			}
-			if linecaller.Promised(res.code) {
-				require.Zero(t, d.group.Committed(res.id), "%s promises that nothing was committed", res.code)
+			if linecaller.NoEffect(res.code) {
+				require.Zero(t, d.group.CommitCount(res.id), "%s promises that nothing was committed", res.code)
 			}
 			return res.code == ""
 		}, waitLimit, pollInterval)
@@ -153,28 +153,28 @@
 // full timeout after the store has compacted the change it waits for.
 func TestCompactedWatchLearnsOfConfigChange(t *testing.T) {
 	d := deploy(t, 1, options())
-	d.platform.Store.Deafen(true)
+	d.platform.Store.SetWatchesBlocked(true)
 	startedAt := time.Now()
 	version := d.platform.Configure(routes(7*time.Second), timeout)
 	d.platform.Store.Compact()
-	d.platform.Store.Deafen(false)
+	d.platform.Store.SetWatchesBlocked(false)
 	require.Eventually(t, func() bool { return d.hosts[0].Catalog().Version == version }, waitLimit, pollInterval)
 	// Well below the watch timeout of 30 s, with room for a slow machine.
 	require.Less(t, time.Since(startedAt), 15*time.Second)
 }
 
 func TestServesDuringStoreOutage(t *testing.T) {
-	for _, outage := range []lineplatform.Outage{lineplatform.Refusing, lineplatform.Silent} {
+	for _, outage := range []lineplatform.FailureMode{lineplatform.Unavailable, lineplatform.Unresponsive} {
 		d := deploy(t, 1, options())
 		c := d.connect(0, "own")
 		c.must("STORE item x")
-		d.platform.Store.Fail(outage)
+		d.platform.Store.SetFailureMode(outage)
 		for range 20 {
 			c.must("STORE item y")
 			require.Equal(t, []string{"y"}, c.must("FETCH item").rows)
 			time.Sleep(20 * time.Millisecond)
 		}
-		d.platform.Store.Fail(lineplatform.Up)
+		d.platform.Store.SetFailureMode(lineplatform.Healthy)
 		version := d.platform.Configure(routes(7*time.Second), timeout)
 		require.Eventually(t, func() bool { return d.hosts[0].Catalog().Version == version }, waitLimit, pollInterval)
 	}
@@ -187,14 +187,14 @@
 	c := d.connect(0, "own")
 	c.must("STORE item x")
 	for _, m := range d.group.Members() {
-		m.Lapse()
+		m.Deregister()
 	}
 	for range 20 {
 		c.must("STORE item y")
 		time.Sleep(20 * time.Millisecond)
 	}
 	for _, m := range d.group.Members() {
-		m.Announce()
+		m.Register()
 	}
 	time.Sleep(3 * time.Second)
 	c.must("STORE item z")
@@ -212,7 +212,7 @@
 	for {
 		res, err := busy.try("STORE item x")
 		if err != nil {
-			require.Zero(t, d.group.Committed(res.id), "a committed statement was not answered")
+			require.Zero(t, d.group.CommitCount(res.id), "a committed statement was not answered")
 			break
 		}
 		require.Empty(t, res.code)
@@ -241,7 +241,7 @@
 	d := deploy(t, 1, options())
 	c := d.connect(0, "strict")
 	c.must("STORE item x")
-	d.platform.Store.Fail(lineplatform.Refusing)
+	d.platform.Store.SetFailureMode(lineplatform.Unavailable)
 	d.group.Primary().Crash()
 	var res result
 	require.Eventually(t, func() bool {
@@ -250,7 +250,7 @@
 		return res.code == "BUSY" && time.Since(startedAt) < time.Second
 	}, 2*waitLimit, pollInterval)
 	require.Contains(t, res.detail, "retry after")
-	require.Zero(t, d.group.Committed(res.id))
+	require.Zero(t, d.group.CommitCount(res.id))
 }
 
 // TestStoppingHostCompletesRemoteTransactions: a host stops while other hosts have
@@ -276,7 +276,7 @@
 			for _, c := range clients {
 				w := c.must("STORE after x")
 				c.must("COMMIT")
-				require.Equal(t, 1, d.group.Committed(w.id))
+				require.Equal(t, 1, d.group.CommitCount(w.id))
 			}
 			require.True(t, <-clean)
 		})
--- a/node/entry/forwarding_test.go
+++ b/node/entry/forwarding_test.go
@@ -27,7 +27,7 @@
 func TestWritesAreForwardedWhenPrimaryIsUnreachable(t *testing.T) {
 	d := deploy(t, 2, options())
 	var dialer refusingDialer
-	address := d.group.Primary().Advertised()
+	address := d.group.Primary().AdvertisedAddress()
 	dialer.refused.Store(&address)
 	d.dial = dialer.dial
 	d.addHost()
@@ -55,7 +55,7 @@
 		require.Equal(t, []string{"y"}, c.must("FETCH item").rows)
 		w := c.must("STORE item z")
 		c.must("COMMIT")
-		require.Equal(t, 1, d.group.Committed(w.id))
+		require.Equal(t, 1, d.group.CommitCount(w.id))
 	}
 	require.Equal(t, primary.ID, d.group.Primary().ID, "the other hosts reach the primary")
 }
--- a/node/entry/helpers_test.go
+++ b/node/entry/helpers_test.go
@@ -48,13 +48,13 @@
 
 func options() lineplatform.Options {
 	return lineplatform.Options{
-		Members: 3, Slots: 2, MaxConnections: 16, Work: time.Millisecond, Lag: 5 * time.Millisecond,
-		PromoteTime: 20 * time.Millisecond, Zones: []string{"a", "b", "c"},
+		Members: 3, Slots: 2, MaxConnections: 16, ServiceTime: time.Millisecond, ReplicationLag: 5 * time.Millisecond,
+		PromotionTime: 20 * time.Millisecond, Zones: []string{"a", "b", "c"},
 	}
 }
 
 func routes(statementTimeout time.Duration) []lineplatform.Route {
-	r := lineplatform.Route{Service: "svc", Timeout: statementTimeout, Target: statementTimeout, Priority: 1}
+	r := lineplatform.Route{Service: "svc", StatementTimeout: statementTimeout, TargetLatency: statementTimeout, Priority: 1}
 	primary, bounded, own := r, r, r
 	primary.Database, primary.Consistency = "strict", "primary"
 	bounded.Database, bounded.Consistency, bounded.MaxStaleness = "bounded", "bounded_staleness", 1500*time.Millisecond
@@ -93,7 +93,7 @@
 	d.t.Helper()
 	changed := routes(statementTimeout)
 	for i := range changed {
-		changed[i].Target = target
+		changed[i].TargetLatency = target
 	}
 	version := d.platform.Configure(changed, timeout)
 	require.Eventually(d.t, func() bool { return d.hosts[0].Catalog().Version == version }, waitLimit, pollInterval)
--- a/node/entry/idle_transaction_test.go
+++ b/node/entry/idle_transaction_test.go
@@ -33,7 +33,7 @@
 		case "":
 		case "ABORTED":
 			aborted++
-			require.Zero(t, d.group.Committed(res.id))
+			require.Zero(t, d.group.CommitCount(res.id))
 		default:
 			t.Fatalf("a commit was answered with %s", res.code)
 		}
--- a/node/entry/lock_holder_test.go
+++ b/node/entry/lock_holder_test.go
@@ -69,7 +69,7 @@
 	d := deploy(t, 3, options())
 	d.awaitWrites()
 	d.awaitLock()
-	d.platform.Store.Fail(lineplatform.Silent)
+	d.platform.Store.SetFailureMode(lineplatform.Unresponsive)
 	old := d.group.Primary()
 	old.Crash()
 	startedAt := time.Now()
--- a/node/entry/outage_test.go
+++ b/node/entry/outage_test.go
@@ -35,11 +35,11 @@
 // TestFailoverDuringStoreOutage guards against a failover that waits for the end of a
 // store outage.
 func TestFailoverDuringStoreOutage(t *testing.T) {
-	for _, outage := range []lineplatform.Outage{lineplatform.Refusing, lineplatform.Silent} {
+	for _, outage := range []lineplatform.FailureMode{lineplatform.Unavailable, lineplatform.Unresponsive} {
 		d := deploy(t, 3, options())
 		d.awaitWrites()
 		d.awaitLock()
-		d.platform.Store.Fail(outage)
+		d.platform.Store.SetFailureMode(outage)
 		old := d.group.Primary()
 		old.Crash()
 		d.awaitWrites()
@@ -52,13 +52,13 @@
 func TestLostLockAnswerDoesNotBlockFailover(t *testing.T) {
 	d := deploy(t, 3, options())
 	d.awaitWrites()
-	d.platform.Store.Fail(lineplatform.LosingAnswers)
+	d.platform.Store.SetFailureMode(lineplatform.DroppingAnswers)
 	d.group.Primary().Crash()
 	require.Eventually(t, func() bool {
 		return len(d.platform.Store.Keys("dotterelswitch/locks/")) == 1
 	}, waitLimit, pollInterval)
 	time.Sleep(time.Second)
-	d.platform.Store.Fail(lineplatform.Up)
+	d.platform.Store.SetFailureMode(lineplatform.Healthy)
 	d.awaitWrites()
 }
 
@@ -66,9 +66,9 @@
 // host has its configuration is served once the store is back.
 func TestLoginWaitsForConfigurationAtStartup(t *testing.T) {
 	d := deploy(t, 1, options())
-	d.platform.Store.Fail(lineplatform.Refusing)
+	d.platform.Store.SetFailureMode(lineplatform.Unavailable)
 	h := d.startHost(d.platform.Address())
-	recovery := time.AfterFunc(300*time.Millisecond, func() { d.platform.Store.Fail(lineplatform.Up) })
+	recovery := time.AfterFunc(300*time.Millisecond, func() { d.platform.Store.SetFailureMode(lineplatform.Healthy) })
 	defer recovery.Stop()
 	require.Nil(t, h.Catalog())
 	c := d.connect(1, "own")
--- a/node/entry/relay_test.go
+++ b/node/entry/relay_test.go
@@ -20,9 +20,9 @@
 	// A host that starts while the fleet is small watches the store directly, and
 	// switches to the relay after that watch.
 	require.Eventually(t, func() bool {
-		before := d.platform.Store.Watches()
+		before := d.platform.Store.WatchCallCount()
 		time.Sleep(4 * time.Second)
-		return d.platform.Store.Watches()-before <= 6
+		return d.platform.Store.WatchCallCount()-before <= 6
 	}, 3*waitLimit, pollInterval, "only the relay may watch the store")
 	return d
 }
--- a/node/entry/restart_test.go
+++ b/node/entry/restart_test.go
@@ -60,7 +60,7 @@
 // log, prepared statements and session values.
 func TestReplicaRestartedEmptyServesNoStaleRead(t *testing.T) {
 	o := options()
-	o.Lag = 300 * time.Millisecond
+	o.ReplicationLag = 300 * time.Millisecond
 	d := deploy(t, 2, o)
 	c := d.connect(0, "own")
 	c.must("SET region north")
@@ -95,7 +95,7 @@
 	primary := d.group.Primary()
 	d.platform.Store.Put("servers/svc-ghost", []byte(fmt.Sprintf(
 		`{"service":"svc","address":%q,"zone":"a","version":"v1","capacity":2,"state":"ready","cold_left_ms":0,"db_role":"primary","sequence":11}`,
-		primary.Advertised())))
+		primary.AdvertisedAddress())))
 	for range 30 {
 		c.awaitWrite("item")
 		time.Sleep(20 * time.Millisecond)
@@ -117,6 +117,6 @@
 			c.must(fmt.Sprintf("STORE item %d", n))
 			require.Equal(t, []string{fmt.Sprint(n)}, c.must("FETCH item").rows)
 		}
-		replica.Announce()
+		replica.Register()
 	}
 }
--- a/node/entry/restored_store_test.go
+++ b/node/entry/restored_store_test.go
@@ -22,7 +22,7 @@
 func TestRevokedKeyStaysRevokedAfterStoreRestore(t *testing.T) {
 	d := deploy(t, 2, options())
 	d.setTeams(schools, clubs)
-	backup := d.platform.Store.Copy()
+	backup := d.platform.Store.Backup()
 	d.setTeams(clubs)
 	d.platform.Store.Restore(backup)
 	d.startHost(d.platform.Address())
@@ -43,7 +43,7 @@
 // Two hosts must not order promotions with the same token.
 func TestFailoverDuringStoreRestore(t *testing.T) {
 	d := deploy(t, 3, options())
-	backup := d.platform.Store.Copy()
+	backup := d.platform.Store.Backup()
 	d.awaitWrites()
 	d.awaitLock()
 	for range 2 {
@@ -58,9 +58,9 @@
 		d.requireFailover(old, 0, 1, 2)
 		<-restored
 		require.NoError(t, old.Restart())
-		backup = d.platform.Store.Copy()
+		backup = d.platform.Store.Backup()
 	}
-	require.Zero(t, d.platform.SharedTokens())
+	require.Zero(t, d.platform.TokenConflicts())
 }
 
 // TestServesDuringStoreRestore: no statement fails while the store is restored from a
@@ -68,7 +68,7 @@
 func TestServesDuringStoreRestore(t *testing.T) {
 	d := deploy(t, 3, options())
 	d.awaitWrites()
-	backup := d.platform.Store.Copy()
+	backup := d.platform.Store.Backup()
 	time.Sleep(time.Second)
 	restored := make(chan struct{})
 	go func() {
--- a/node/entry/show_test.go
+++ b/node/entry/show_test.go
@@ -56,9 +56,9 @@
 		svc := d.show(0).Services[0]
 		return svc.Primary != old && upstream(svc, old).Failing
 	}, waitLimit, pollInterval)
-	d.platform.Store.Fail(lineplatform.Refusing)
+	d.platform.Store.SetFailureMode(lineplatform.Unavailable)
 	require.Eventually(t, func() bool { return d.show(0).Store.Away }, waitLimit, pollInterval)
-	d.platform.Store.Fail(lineplatform.Up)
+	d.platform.Store.SetFailureMode(lineplatform.Healthy)
 	require.Eventually(t, func() bool { return !d.show(0).Store.Away }, waitLimit, pollInterval)
 }
 
--- a/node/entry/statements_test.go
+++ b/node/entry/statements_test.go
@@ -30,7 +30,7 @@
 	committed := c.must("STORE item-2 y")
 	c.must("COMMIT")
 	require.Equal(t, []string{"y"}, c.must("FETCH item-2").rows)
-	require.Equal(t, 1, d.group.Committed(committed.id))
+	require.Equal(t, 1, d.group.CommitCount(committed.id))
 }
 
 func TestMalformedInputIsRefused(t *testing.T) {
@@ -61,9 +61,9 @@
 	c := d.connect(0, "strict")
 	c.must("STORE item old")
 	old := d.group.Primary()
-	old.Deafen(true)
-	old.Depose()
-	before := len(d.group.Runs())
+	old.SetReplicationBlocked(true)
+	old.Demote()
+	before := len(d.group.Executions())
 	done := make(chan result, 1)
 	go func() {
 		res, err := c.try("FETCH item")
@@ -73,7 +73,7 @@
 	}()
 	select {
 	case res := <-done:
-		for _, run := range d.group.Runs()[before:] {
+		for _, run := range d.group.Executions()[before:] {
 			require.NotEqual(t, old.ID, run.Member, "the read ran on the deposed member")
 		}
 		require.NotEmpty(t, res.code+strings.Join(res.rows, ""))
@@ -90,10 +90,10 @@
 	c := d.connect(0, "strict")
 	require.Eventually(t, func() bool { return c.must("STORE warm up").code == "" }, waitLimit, pollInterval)
 	waitForTimeout(t, d, 300*time.Millisecond)
-	d.group.Primary().LoseAnswers(1)
+	d.group.Primary().DropAnswers(1)
 	res := c.do("STORE item x")
 	require.Equal(t, "INDOUBT", res.code)
-	require.Equal(t, 1, d.group.Committed(res.id))
+	require.Equal(t, 1, d.group.CommitCount(res.id))
 }
 
 // waitForTimeout waits until a statement timeout is active.
@@ -112,11 +112,11 @@
 	c := d.connect(0, "own")
 	c.must("STORE item x")
 	for _, m := range d.group.Members() {
-		m.RefuseNext(1)
+		m.RefuseStatements(1)
 	}
 	require.Equal(t, []string{"x"}, c.must("FETCH item").rows)
 	w := c.must("STORE item y")
-	require.Equal(t, 1, d.group.Committed(w.id))
+	require.Equal(t, 1, d.group.CommitCount(w.id))
 }
 
 // TestIdleTransactionTimesOut: a transaction that exceeds the configured idle timeout
@@ -133,7 +133,7 @@
 	require.Equal(t, "ABORTED", res.code)
 	require.Equal(t, "E", res.state)
 	require.Equal(t, "I", c.must("ROLLBACK").state)
-	require.Zero(t, d.group.Committed(w.id))
+	require.Zero(t, d.group.CommitCount(w.id))
 }
 
 // TestSessionsAreIsolatedOnPooledConnections runs sessions with their own session
@@ -182,7 +182,7 @@
 	c.must("STORE item x")
 	for _, m := range d.group.Members() {
 		if m != d.group.Primary() {
-			m.LoseAnswers(1)
+			m.DropAnswers(1)
 		}
 	}
 	startedAt := time.Now()
--- a/node/entry/teams_test.go
+++ b/node/entry/teams_test.go
@@ -45,7 +45,7 @@
 			c.must("COMMIT")
 		}
 	}
-	for _, r := range d.group.Runs() {
+	for _, r := range d.group.Executions() {
 		if team, found := want[r.ID]; found {
 			require.Equal(t, team, r.Team, r.Text)
 			delete(want, r.ID)
@@ -82,7 +82,7 @@
 	refused := open.do("COMMIT")
 	require.Equal(t, "UNAUTH", refused.code)
 	require.Equal(t, "I", refused.state, "the transaction must have ended")
-	require.Equal(t, 0, d.group.Committed(written))
+	require.Equal(t, 0, d.group.CommitCount(written))
 	other.must("FETCH a")
 }
 
@@ -148,7 +148,7 @@
 	for _, byID := range sent {
 		maps.Copy(all, byID)
 	}
-	busiest := busiestWindow(d.group.Runs(), all, tolerance.Window)
+	busiest := busiestWindow(d.group.Executions(), all, tolerance.Window)
 	require.LessOrEqual(t, float64(busiest), (20+20)*1.1+20)
 	require.GreaterOrEqual(t, busiest, 30, "operations within the limit must be served")
 }
@@ -179,13 +179,13 @@
 
 // busiestWindow returns the largest number of statements that were both sent and run
 // within one window.
-func busiestWindow(runs []lineplatform.Run, sent map[string]time.Time, window time.Duration) int {
+func busiestWindow(runs []lineplatform.Execution, sent map[string]time.Time, window time.Duration) int {
 	busiest := 0
 	for _, start := range sent {
 		n := 0
 		for _, r := range runs {
 			at, found := sent[r.ID]
-			if found && !at.Before(start) && r.At.Before(start.Add(window)) {
+			if found && !at.Before(start) && r.ExecutedAt.Before(start.Add(window)) {
 				n++
 			}
 		}
--- a/node/platformdemo/caller.go
+++ b/node/platformdemo/caller.go
@@ -42,11 +42,11 @@
 	if err != nil {
 		return false
 	}
-	kept := group.Committed(w.ID)
+	kept := group.CommitCount(w.ID)
 	if kept > 1 {
 		report.add(&report.Twice)
 	}
-	if linecaller.Promised(w.Code) && kept > 0 {
+	if linecaller.NoEffect(w.Code) && kept > 0 {
 		report.add(&report.KeptThoughRefused)
 	}
 	report.count(team, w.Code)
@@ -61,7 +61,7 @@
 	}
 	report.count(team, read.Code)
 	// A promotion may roll back what was acknowledged without confirmation.
-	if read.Code == "" && read.Rows[0] != item && group.Term() == term && group.Commit(w.ID).Term == term {
+	if read.Code == "" && read.Rows[0] != item && group.Term() == term && group.LastCommit(w.ID).Term == term {
 		report.add(&report.LostOwnWrite)
 	}
 	return true
@@ -84,7 +84,7 @@
 	case code == "":
 		r.add(&r.Served)
 		r.add(&r.Teams[team].Served)
-	case linecaller.Promised(code):
+	case linecaller.NoEffect(code):
 		r.add(&r.Refused)
 		r.add(&r.Teams[team].Refused)
 	case code == unauthorized:
--- a/node/platformdemo/demo.go
+++ b/node/platformdemo/demo.go
@@ -72,8 +72,8 @@
 	}
 	defer p.Close()
 	group, err := p.AddGroup(service, lineplatform.Options{
-		Members: members, Slots: slots, MaxConnections: maxConnections, Work: work, Lag: lag,
-		PromoteTime: promoteTime, Zones: []string{"zone-a", "zone-b", "zone-c"},
+		Members: members, Slots: slots, MaxConnections: maxConnections, ServiceTime: work, ReplicationLag: lag,
+		PromotionTime: promoteTime, Zones: []string{"zone-a", "zone-b", "zone-c"},
 	})
 	if err != nil {
 		return nil, err
@@ -99,16 +99,16 @@
 	for i := range o.Callers {
 		wg.Go(func() { runCaller(ctx, i, addresses[i%len(addresses)], group, report) })
 	}
-	older := p.Store.Copy()
+	older := p.Store.Backup()
 	timer := time.AfterFunc(o.Duration/2, func() { inject(o.Fault, p, group, hosts, older) })
 	defer timer.Stop()
 	wg.Wait()
-	report.checkTeams(group.Runs())
+	report.checkTeams(group.Executions())
 	return report, nil
 }
 
 func routes() []lineplatform.Route {
-	base := lineplatform.Route{Service: service, Timeout: statementTime, Target: target, Priority: 1, MaxStaleness: staleness}
+	base := lineplatform.Route{Service: service, StatementTimeout: statementTime, TargetLatency: target, Priority: 1, MaxStaleness: staleness}
 	strict, own := base, base
 	strict.Database, strict.Consistency = "submissions", "primary"
 	own.Database, own.Consistency = "alerts", "read_your_writes"
@@ -174,7 +174,7 @@
 )
 
 // inject makes the fault happen.
-func inject(f Fault, p *lineplatform.Platform, group *lineplatform.Group, hosts []*entry.Host, older lineplatform.Copy) {
+func inject(f Fault, p *lineplatform.Platform, group *lineplatform.Group, hosts []*entry.Host, older lineplatform.Backup) {
 	primary := group.Primary()
 	switch {
 	case f == KeyRevoked:
@@ -184,7 +184,7 @@
 		p.SetTeams(lowered()...)
 		p.Configure(routes(), statementTime)
 	case f == StoreOutage:
-		p.Store.Fail(lineplatform.Refusing)
+		p.Store.SetFailureMode(lineplatform.Unavailable)
 	case f == StoreRestore:
 		p.RestoreStore(older, storeAway, rewriteAfter)
 	case f == HostStop:
--- a/node/platformdemo/teams.go
+++ b/node/platformdemo/teams.go
@@ -54,14 +54,14 @@
 }
 
 // checkTeams holds what the members ran against the callers' teams.
-func (r *Report) checkTeams(runs []lineplatform.Run) {
+func (r *Report) checkTeams(runs []lineplatform.Execution) {
 	times := map[string][]time.Time{}
 	for _, run := range runs {
 		team, _, _ := strings.Cut(run.ID, "/")
 		if run.Team != team {
 			r.WrongTeam++
 		}
-		times[team] = append(times[team], run.At)
+		times[team] = append(times[team], run.ExecutedAt)
 	}
 	for team, at := range times {
 		r.Teams[team].Busiest = busiest(at, tolerance.Window)
--- a/node/registry/restored_store_test.go
+++ b/node/registry/restored_store_test.go
@@ -109,7 +109,7 @@
 		})
 	})
 	requireConfigVersion(t, "follower", following, first)
-	backup := p.Store.Copy()
+	backup := p.Store.Backup()
 	writeUnrelatedKeys(p, 300)
 	require.Eventually(t, func() bool {
 		return following.State().Relay == relayHost.Name && following.State().Revision.Number() >= backup.Revision()+300
@@ -246,7 +246,7 @@
 	p, err := lineplatform.Start()
 	require.NoError(t, err)
 	t.Cleanup(p.Close)
-	empty := p.Store.Copy()
+	empty := p.Store.Backup()
 	hosts := []*Registry{runRegistered(t, p, "h1"), runRegistered(t, p, "h2"), runRegistered(t, p, "h3")}
 	all := []string{"h1", "h2", "h3"}
 	for _, r := range hosts {
@@ -277,7 +277,7 @@
 	p, err := lineplatform.Start()
 	require.NoError(t, err)
 	t.Cleanup(p.Close)
-	empty := p.Store.Copy()
+	empty := p.Store.Backup()
 	r := runRegistered(t, p, "h1")
 	require.Eventually(t, r.registered, waitTimeout, pollInterval)
 	registered := time.Now()
@@ -306,7 +306,7 @@
 		return token
 	}
 	first := takeLock(a)
-	backup := p.Store.Copy()
+	backup := p.Store.Backup()
 	writeUnrelatedKeys(p, 50)
 	second := takeLock(b)
 	require.Greater(t, second, first)
@@ -324,7 +324,7 @@
 	p, err := lineplatform.Start()
 	require.NoError(t, err)
 	t.Cleanup(p.Close)
-	empty := p.Store.Copy()
+	empty := p.Store.Backup()
 	stopping := runRegistry(t, p, gates.Host{Name: "h1", Zone: "a", Address: "unused"}, nil)
 	require.NoError(t, stopping.register(t.Context()))
 	p.Store.Restore(empty)
--- a/node/soak/caller.go
+++ b/node/soak/caller.go
@@ -238,7 +238,7 @@
 		if len(tx.writes) > 0 {
 			t.commits = append(t.commits, acknowledged{at: r.answered, id: tx.writes[0].ID, session: t.id})
 		}
-	case linecaller.Promised(r.Code):
+	case linecaller.NoEffect(r.Code):
 		tx.outcome = notKept
 	}
 	return true
--- a/node/soak/check.go
+++ b/node/soak/check.go
@@ -12,12 +12,12 @@
 
 // evidence is what the members ran and kept.
 type evidence struct {
-	runs []lineplatform.Run
-	// starts are the promotions, as in lineplatform.Group.Starts.
-	starts []lineplatform.Place
+	runs []lineplatform.Execution
+	// starts are the promotions, as in lineplatform.Group.TermStarts.
+	starts []lineplatform.Position
 	// committed is how often a request's write was kept, commit where.
 	committed func(id string) int
-	commit    func(id string) lineplatform.Place
+	commit    func(id string) lineplatform.Position
 }
 
 // checker holds what callers saw against the evidence.
@@ -25,12 +25,12 @@
 	evidence
 	found *findings
 	// runsOf finds the runs of a request.
-	runsOf map[string][]lineplatform.Run
+	runsOf map[string][]lineplatform.Execution
 }
 
 // check reports every promise that was broken.
 func check(e evidence, histories []history, found *findings) {
-	c := &checker{evidence: e, found: found, runsOf: map[string][]lineplatform.Run{}}
+	c := &checker{evidence: e, found: found, runsOf: map[string][]lineplatform.Execution{}}
 	for _, run := range e.runs {
 		c.runsOf[run.ID] = append(c.runsOf[run.ID], run)
 	}
@@ -66,8 +66,8 @@
 		if run.Text != r.text && (r.shape == "" || afterName(run.Text) != afterName(r.text)) {
 			c.found.add("%s ran as %q, sent was %q", r.ID, run.Text, r.text)
 		}
-		if run.Values != r.values && r.verb != commit {
-			c.found.add("%s ran with the values %q, acknowledged were %q", r.ID, run.Values, r.values)
+		if run.SessionValues != r.values && r.verb != commit {
+			c.found.add("%s ran with the values %q, acknowledged were %q", r.ID, run.SessionValues, r.values)
 		}
 		if run.Shape != r.shape {
 			c.found.add("%s ran as prepared %q, its caller prepared %q", r.ID, run.Shape, r.shape)
@@ -109,7 +109,7 @@
 	switch {
 	case n > 1:
 		c.found.add("%s was kept %d times", r.ID, n)
-	case n == 1 && r.tx == nil && !r.lost && linecaller.Promised(r.Code):
+	case n == 1 && r.tx == nil && !r.lost && linecaller.NoEffect(r.Code):
 		c.found.add("%s was kept though it was refused with %s", r.ID, r.Code)
 	case n == 1 && r.tx != nil && r.tx.outcome == notKept:
 		c.found.add("%s was kept though its transaction was not", r.ID)
@@ -131,15 +131,15 @@
 			c.found.add("%s ran, which no caller sent", run.ID)
 			continue
 		}
-		if run.Tx == 0 {
+		if run.TxID == 0 {
 			if r.tx != nil {
 				c.found.add("%s ran outside of its transaction", run.ID)
 			}
 			continue
 		}
-		first, used := users[run.Tx]
+		first, used := users[run.TxID]
 		if !used {
-			users[run.Tx] = r
+			users[run.TxID] = r
 			continue
 		}
 		if first.tx != r.tx || (r.tx == nil && first != r) {
@@ -170,8 +170,8 @@
 }
 
 // place parses a member's position.
-func place(position string) lineplatform.Place {
-	p, err := lineplatform.ParsePlace(position)
+func place(position string) lineplatform.Position {
+	p, err := lineplatform.ParsePosition(position)
 	if err != nil {
 		// The stand-in writes positions itself.
 		panic("soak: a position that is none: " + position)
@@ -179,11 +179,11 @@
 	return p
 }
 
-func less(a, b lineplatform.Place) bool {
-	return a.Term < b.Term || (a.Term == b.Term && a.Number < b.Number)
+func less(a, b lineplatform.Position) bool {
+	return a.Term < b.Term || (a.Term == b.Term && a.Offset < b.Offset)
 }
 
-func later(a, b lineplatform.Place) lineplatform.Place {
+func later(a, b lineplatform.Position) lineplatform.Position {
 	if less(a, b) {
 		return b
 	}
@@ -199,9 +199,9 @@
 
 type acknowledgedAt struct {
 	acknowledged
-	place lineplatform.Place
+	place lineplatform.Position
 	// highest is the latest place up to this one.
-	highest lineplatform.Place
+	highest lineplatform.Position
 }
 
 func newRequirement(acks []acknowledged, e evidence) *requirement {
@@ -212,7 +212,7 @@
 		}
 	}
 	slices.SortFunc(q.commits, func(a, b acknowledgedAt) int { return a.at.Compare(b.at) })
-	var highest lineplatform.Place
+	var highest lineplatform.Position
 	for i := range q.commits {
 		highest = later(highest, q.commits[i].place)
 		q.commits[i].highest = highest
@@ -221,24 +221,24 @@
 }
 
 // rolledBack reports whether a promotion dropped a place.
-func (e evidence) rolledBack(p lineplatform.Place) bool {
-	return slices.ContainsFunc(e.starts, func(s lineplatform.Place) bool {
-		return s.Term > p.Term && p.Number > s.Number
+func (e evidence) rolledBack(p lineplatform.Position) bool {
+	return slices.ContainsFunc(e.starts, func(s lineplatform.Position) bool {
+		return s.Term > p.Term && p.Offset > s.Offset
 	})
 }
 
 // before returns the latest place that was acknowledged before a time.
-func (q *requirement) before(t time.Time) lineplatform.Place {
+func (q *requirement) before(t time.Time) lineplatform.Position {
 	n, _ := slices.BinarySearchFunc(q.commits, t, func(a acknowledgedAt, t time.Time) int { return a.at.Compare(t) })
 	if n == 0 {
-		return lineplatform.Place{}
+		return lineplatform.Position{}
 	}
 	return q.commits[n-1].highest
 }
 
 // of returns the latest place that a session committed before a time.
-func (q *requirement) of(session string, t time.Time) lineplatform.Place {
-	var out lineplatform.Place
+func (q *requirement) of(session string, t time.Time) lineplatform.Position {
+	var out lineplatform.Position
 	for _, a := range q.commits {
 		if a.session == session && a.at.Before(t) {
 			out = later(out, a.place)
--- a/node/soak/check_test.go
+++ b/node/soak/check_test.go
@@ -21,7 +21,7 @@
 	history
 	evidence
 	kept    map[string]int
-	places  map[string]lineplatform.Place
+	places  map[string]lineplatform.Position
 	written *request
 	read    *request
 	tx      *transaction
@@ -32,7 +32,7 @@
 func newScene() *scene {
 	s := &scene{
 		kept:   map[string]int{"w": 1, "tw": 1},
-		places: map[string]lineplatform.Place{"w": {Term: 1, Number: 5}, "tw": {Term: 1, Number: 7}},
+		places: map[string]lineplatform.Position{"w": {Term: 1, Offset: 5}, "tw": {Term: 1, Offset: 7}},
 	}
 	answer := func(id string, rows ...string) linecaller.Answer {
 		return linecaller.Answer{ID: id, Signature: "sig-m-" + id, Rows: rows, State: "I"}
@@ -45,14 +45,14 @@
 	s.tx.writes = []*request{s.inTx}
 	s.requests = []*request{s.written, s.read, s.inTx, s.commit}
 	s.commits = []acknowledged{{at: at(10), id: "w", session: "s1"}, {at: at(50), id: "tw", session: "s1"}}
-	s.runs = []lineplatform.Run{
+	s.runs = []lineplatform.Execution{
 		{ID: "w", Member: "m", Text: "STORE a w", Position: "1.4"},
 		{ID: "r", Member: "m", Text: "FETCH a", Position: "1.5", Row: "w"},
-		{ID: "tw", Member: "m", Text: "STORE b tw", Position: "1.6", Tx: 3},
-		{ID: "tc", Member: "m", Text: "COMMIT", Position: "1.6", Tx: 3},
+		{ID: "tw", Member: "m", Text: "STORE b tw", Position: "1.6", TxID: 3},
+		{ID: "tc", Member: "m", Text: "COMMIT", Position: "1.6", TxID: 3},
 	}
 	s.committed = func(id string) int { return s.kept[id] }
-	s.evidence.commit = func(id string) lineplatform.Place { return s.places[id] }
+	s.evidence.commit = func(id string) lineplatform.Position { return s.places[id] }
 	return s
 }
 
@@ -83,16 +83,16 @@
 		{"another's answer", "which no member gave", func(s *scene) { s.read.Signature = "sig-m-w" }},
 		{"other rows", "which no member gave", func(s *scene) { s.read.Rows = []string{"x"} }},
 		{"stale read", "which lacks 1.5", func(s *scene) { s.runs[1].Position = "1.4" }},
-		{"read in an older term", "which lacks 2.1", func(s *scene) { s.places["w"] = lineplatform.Place{Term: 2, Number: 1} }},
+		{"read in an older term", "which lacks 2.1", func(s *scene) { s.places["w"] = lineplatform.Position{Term: 2, Offset: 1} }},
 		{"own write not seen", "which lacks 1.5", func(s *scene) {
 			s.read.database, s.read.session, s.runs[1].Position = own, "s1", "1.4"
 		}},
 		{"changed text", `ran as "FETCH b"`, func(s *scene) { s.runs[1].Text = "FETCH b" }},
-		{"another's values", "acknowledged were", func(s *scene) { s.runs[1].Values = "name0=v1 " }},
+		{"another's values", "acknowledged were", func(s *scene) { s.runs[1].SessionValues = "name0=v1 " }},
 		{"another shape", "its caller prepared", func(s *scene) { s.runs[1].Shape = "FETCH q1" }},
-		{"nobody asked", "which no caller sent", func(s *scene) { s.runs = append(s.runs, lineplatform.Run{ID: "x"}) }},
-		{"outside of its transaction", "ran outside of its transaction", func(s *scene) { s.runs[2].Tx = 0 }},
-		{"transactions mix", "ran in one transaction", func(s *scene) { s.runs[1].Tx = 3 }},
+		{"nobody asked", "which no caller sent", func(s *scene) { s.runs = append(s.runs, lineplatform.Execution{ID: "x"}) }},
+		{"outside of its transaction", "ran outside of its transaction", func(s *scene) { s.runs[2].TxID = 0 }},
+		{"transactions mix", "ran in one transaction", func(s *scene) { s.runs[1].TxID = 3 }},
 	} {
 		t.Run(broken.name, func(t *testing.T) {
 			s := newScene()
@@ -128,7 +128,7 @@
 func TestRolledBackCommitsNeedNotShow(t *testing.T) {
 	s := newScene()
 	s.runs[1].Position = "1.4"
-	s.starts = []lineplatform.Place{{Term: 2, Number: 4}}
+	s.starts = []lineplatform.Position{{Term: 2, Offset: 4}}
 	require.Empty(t, s.findings())
 }
 
--- a/node/soak/fleet.go
+++ b/node/soak/fleet.go
@@ -58,12 +58,12 @@
 	}
 	h := &process{name: fmt.Sprintf("host-%d", n+1), dir: dir, program: program, store: store, found: f}
 	boot := lineplatform.Boot{
-		Host: h.name, Zone: zones[n%len(zones)], Platform: store.Address(),
-		Grace: grace, DrainBound: drainBound, ConfigIn: configBound,
-		QuotaWindow: quotaWindow, QuotaShare: quotaShare, QuotaSlack: quotaSlack,
+		Host: h.name, Zone: zones[n%len(zones)], PlatformAddress: store.Address(),
+		GracePeriod: grace, DrainTimeout: drainBound, MaxConfigApplyTime: configBound,
+		QuotaWindow: quotaWindow, QuotaOverage: quotaShare, QuotaSlack: quotaSlack,
 	}
 	var peer string
-	for _, address := range []*string{&boot.Caller, &boot.Ready, &peer} {
+	for _, address := range []*string{&boot.CallerAddress, &boot.ReadyAddress, &peer} {
 		if *address, err = loopback.FreeAddress(); err != nil {
 			return nil, err
 		}
@@ -75,7 +75,7 @@
 	if boot.PeerPort, err = strconv.Atoi(port); err != nil {
 		return nil, err
 	}
-	boot.IP, h.caller = host, boot.Caller
+	boot.IP, h.caller = host, boot.CallerAddress
 	return h, os.WriteFile(h.bootPath(), boot.Encode(), 0o600)
 }
 
--- a/node/soak/inject.go
+++ b/node/soak/inject.go
@@ -42,15 +42,15 @@
 	case SilenceStore:
 		host.store.Silence()
 	case StoreRefuses:
-		s.failStore(lineplatform.Refusing, e.For)
+		s.failStore(lineplatform.Unavailable, e.For)
 	case StoreSilent:
-		s.failStore(lineplatform.Silent, e.For)
+		s.failStore(lineplatform.Unresponsive, e.For)
 	case StoreLosesAnswers:
-		s.failStore(lineplatform.LosingAnswers, e.For)
+		s.failStore(lineplatform.DroppingAnswers, e.For)
 	case StoreForgets:
 		s.platform.Store.Compact()
 	case RestoreStore:
-		older := s.platform.Store.Copy()
+		older := s.platform.Store.Backup()
 		time.Sleep(e.For)
 		s.platform.RestoreStore(older, storeAway, heartbeat)
 	case RefusePromotion:
@@ -72,10 +72,10 @@
 	host.stop()
 }
 
-func (s *run) failStore(o lineplatform.Outage, d time.Duration) {
-	s.platform.Store.Fail(o)
+func (s *run) failStore(o lineplatform.FailureMode, d time.Duration) {
+	s.platform.Store.SetFailureMode(o)
 	time.Sleep(d)
-	s.platform.Store.Fail(lineplatform.Up)
+	s.platform.Store.SetFailureMode(lineplatform.Healthy)
 }
 
 func during(p *faultproxy.Proxy, f faultproxy.Fault, d time.Duration) {
@@ -118,9 +118,9 @@
 	case SilenceMember:
 		proxy.Silence()
 	case DeafReplica:
-		m.Deafen(true)
+		m.SetReplicationBlocked(true)
 		time.Sleep(e.For)
-		m.Deafen(false)
+		m.SetReplicationBlocked(false)
 	case LoseAnswers:
 		loseAnswers(g, m, e)
 	default:
@@ -134,14 +134,14 @@
 	if p := g.Primary(); p != nil && e.For%2 == 0 {
 		m = p
 	}
-	m.LoseAnswers(lostAnswers)
+	m.DropAnswers(lostAnswers)
 }
 
 // crash ends a member and starts it again.
 func (s *run) crash(m *lineplatform.Member, down time.Duration) {
 	m.Crash()
 	time.Sleep(down)
-	if m.Gone() {
+	if m.Removed() {
 		return
 	}
 	if err := m.Restart(); err != nil {
@@ -153,7 +153,7 @@
 func (s *run) empty(m *lineplatform.Member, down time.Duration) {
 	m.Crash()
 	time.Sleep(down)
-	if m.Gone() {
+	if m.Removed() {
 		return
 	}
 	if err := m.RestartEmpty(false); err != nil {
@@ -171,7 +171,7 @@
 	s.platform.Store.Put("servers/foreign", value)
 	s.platform.Store.Put("servers/"+m.ID, value)
 	time.Sleep(min(e.For, heartbeat))
-	m.Announce()
+	m.Register()
 	s.platform.Store.Delete("servers/foreign")
 }
 
--- a/node/soak/proxies.go
+++ b/node/soak/proxies.go
@@ -31,7 +31,7 @@
 func (p *proxies) of(m *lineplatform.Member) *faultproxy.Proxy {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.byAddress[m.Advertised()]
+	return p.byAddress[m.AdvertisedAddress()]
 }
 
 func (p *proxies) close() {
--- a/node/soak/routes.go
+++ b/node/soak/routes.go
@@ -46,7 +46,7 @@
 	w.version++
 	var routes []lineplatform.Route
 	for n, service := range w.platform.Services() {
-		base := lineplatform.Route{Service: service, Timeout: statementTime, Target: target, Priority: 1}
+		base := lineplatform.Route{Service: service, StatementTimeout: statementTime, TargetLatency: target, Priority: 1}
 		for database, consistency := range map[string]string{strict: "primary", bounded: "bounded_staleness", own: "read_your_writes"} {
 			r := base
 			r.Database, r.Consistency, r.MaxStaleness = databaseOf(n, database), consistency, staleness[database]
--- a/node/soak/soak.go
+++ b/node/soak/soak.go
@@ -106,8 +106,8 @@
 	s.platform = p
 	for n := range s.Groups {
 		g, err := p.AddGroup(fmt.Sprintf("group%d", n), lineplatform.Options{
-			Members: members, Slots: slots, MaxConnections: maxConnections, Work: work, Lag: lag,
-			PromoteTime: promoteTime, Zones: zones, Front: s.proxies.front,
+			Members: members, Slots: slots, MaxConnections: maxConnections, ServiceTime: work, ReplicationLag: lag,
+			PromotionTime: promoteTime, Zones: zones, AdvertisedAddress: s.proxies.front,
 		})
 		if err != nil {
 			return err
@@ -184,7 +184,7 @@
 				histories = append(histories, c.history)
 			}
 		}
-		e := evidence{runs: g.Runs(), starts: g.Starts(), committed: g.Committed, commit: g.Commit}
+		e := evidence{runs: g.Executions(), starts: g.TermStarts(), committed: g.CommitCount, commit: g.LastCommit}
 		check(e, histories, &s.found)
 		evidences, all = append(evidences, e), append(all, histories...)
 		s.checkStops(histories, e.runs)
@@ -193,7 +193,7 @@
 		}
 	}
 	checkLimits(evidences, all, &s.found)
-	if n := s.platform.SharedTokens(); n > 0 {
+	if n := s.platform.TokenConflicts(); n > 0 {
 		s.found.add("%d promotion calls came with another host's token", n)
 	}
 	s.checkLogs()
--- a/node/soak/stops.go
+++ b/node/soak/stops.go
@@ -30,7 +30,7 @@
 }
 
 // checkStops finds requests that a planned stop cut off.
-func (s *run) checkStops(histories []history, runs []lineplatform.Run) {
+func (s *run) checkStops(histories []history, runs []lineplatform.Execution) {
 	ran := map[string]bool{}
 	for _, r := range runs {
 		ran[r.ID] = true
--- a/node/soak/teams.go
+++ b/node/soak/teams.go
@@ -81,7 +81,7 @@
 	for _, e := range evidences {
 		for _, r := range e.runs {
 			if _, again := ran[r.ID]; !again {
-				ran[r.ID] = r.At
+				ran[r.ID] = r.ExecutedAt
 			}
 		}
 	}
--- a/node/soak/teams_test.go
+++ b/node/soak/teams_test.go
@@ -13,16 +13,16 @@
 
 // ranAs returns a read of a team that a member ran in the name of another, and what
 // the member recorded.
-func ranAs(id, team, ran string, at time.Time, tx *transaction) (*request, lineplatform.Run) {
+func ranAs(id, team, ran string, at time.Time, tx *transaction) (*request, lineplatform.Execution) {
 	r := &request{Answer: linecaller.Answer{ID: id}, verb: read, text: "FETCH a", team: team, sent: at, tx: tx}
-	return r, lineplatform.Run{ID: id, Text: "FETCH a", Team: ran, At: at}
+	return r, lineplatform.Execution{ID: id, Text: "FETCH a", Team: ran, ExecutedAt: at}
 }
 
 func TestWrongTeamIsNoticed(t *testing.T) {
 	for ran, want := range map[string]int{"schools": 0, "clubs": 1, "key-schools": 1} {
 		var found findings
 		r, run := ranAs("r1", "schools", ran, time.Now(), nil)
-		c := &checker{found: &found, runsOf: map[string][]lineplatform.Run{"r1": {run}}}
+		c := &checker{found: &found, runsOf: map[string][]lineplatform.Execution{"r1": {run}}}
 		c.checkTeams(r)
 		require.Len(t, found.all(), want, ran)
 	}
--- a/standin/linecaller/session.go
+++ b/standin/linecaller/session.go
@@ -1,4 +1,4 @@
-// Package linecaller is a caller of the line protocol, for loads and tests.
+// Package linecaller is a line protocol client for load generators and tests.
 package linecaller
 
 import (
@@ -9,67 +9,67 @@
 	"time"
 )
 
-// Answer is what one statement got.
+// Answer is the answer to one statement.
 type Answer struct {
 	ID string
 	// Code and Detail are set when the statement failed.
 	Code, Detail string
-	// Signature names the member that ran the statement.
+	// Signature identifies the member that executed the statement.
 	Signature string
 	Rows      []string
-	// State is the state of the session's transaction: I, T or E.
+	// State is the transaction state: I (idle), T (in a transaction) or E (failed).
 	State string
 }
 
-// promises are the codes that promise that nothing of an attempt is kept.
-var promises = map[string]bool{
+// noEffectCodes are the error codes that guarantee that a statement had no effect.
+var noEffectCodes = map[string]bool{
 	"BUSY": true, "ABORTED": true, "LAGGING": true, "READONLY": true, "MISROUTED": true, "TOOMANY": true,
 }
 
-// Promised reports whether a code promises that nothing is kept.
-func Promised(code string) bool { return promises[code] }
+// NoEffect reports whether an error code guarantees that the statement had no effect.
+func NoEffect(code string) bool { return noEffectCodes[code] }
 
-// welcome is the answer to a login: no transaction is open, and no position is
-// known.
-const welcome = "READY I -"
+// loginAnswer is the answer to an accepted login: no transaction is open, and no log
+// position is known.
+const loginAnswer = "READY I -"
 
-// Session is one connection of a caller. It is not safe for concurrent use.
+// Session is one caller connection. It is not safe for concurrent use.
 type Session struct {
-	net     net.Conn
-	r       *bufio.Reader
+	netConn net.Conn
+	reader  *bufio.Reader
 	name    string
-	next    int
+	sent    int
 	timeout time.Duration
 }
 
-// RefusedError is a session that the system did not open.
+// RefusedError reports a login that was not accepted. Line is the answer.
 type RefusedError struct{ Line string }
 
-func (e *RefusedError) Error() string { return fmt.Sprintf("the login was answered with %q", e.Line) }
+func (e *RefusedError) Error() string { return fmt.Sprintf("login refused: got answer %q", e.Line) }
 
-// Code returns the code that refused the session.
+// Code returns the error code of the answer.
 func (e *RefusedError) Code() string {
 	rest, _ := strings.CutPrefix(e.Line, "ERROR ")
 	code, _, _ := strings.Cut(rest, " ")
 	return code
 }
 
-// DefaultKey is what a caller says where nobody asks for a key.
+// DefaultKey is sent where no key is required.
 const DefaultKey = "tester"
 
-// Open opens a session on a database. Name makes the ids of its statements
-// unique; timeout bounds the wait for each answer.
+// Open opens a session on a database. name is the prefix of its statement IDs and has
+// to be unique; timeout bounds the connection attempt and the wait for each line.
 func Open(address, database, name string, timeout time.Duration) (*Session, error) {
 	return OpenWithKey(address, database, DefaultKey, name, timeout)
 }
 
-// OpenWithKey is Open for a caller that proves itself with a team's key.
+// OpenWithKey is Open with a team's API key.
 func OpenWithKey(address, database, key, name string, timeout time.Duration) (*Session, error) {
 	nc, err := net.DialTimeout("tcp", address, timeout)
 	if err != nil {
 		return nil, err
 	}
-	s := &Session{net: nc, r: bufio.NewReader(nc), name: name, timeout: timeout}
+	s := &Session{netConn: nc, reader: bufio.NewReader(nc), name: name, timeout: timeout}
 	if err := s.login(database, key); err != nil {
 		_ = nc.Close()
 		return nil, err
@@ -78,50 +78,50 @@
 }
 
 func (s *Session) login(database, key string) error {
-	if _, err := fmt.Fprintf(s.net, "START %s %s\r\n", database, key); err != nil {
+	if _, err := fmt.Fprintf(s.netConn, "START %s %s\r\n", database, key); err != nil {
 		return err
 	}
-	line, err := s.line()
+	line, err := s.readLine()
 	if err != nil {
 		return err
 	}
-	if line != welcome {
+	if line != loginAnswer {
 		return &RefusedError{Line: line}
 	}
 	return nil
 }
 
-// Close ends the session without a word.
-func (s *Session) Close() { _ = s.net.Close() }
+// Close closes the connection without sending anything.
+func (s *Session) Close() { _ = s.netConn.Close() }
 
-func (s *Session) line() (string, error) {
-	if err := s.net.SetReadDeadline(time.Now().Add(s.timeout)); err != nil {
+func (s *Session) readLine() (string, error) {
+	if err := s.netConn.SetReadDeadline(time.Now().Add(s.timeout)); err != nil {
 		return "", err
 	}
-	line, err := s.r.ReadString('\n')
+	line, err := s.reader.ReadString('\n')
 	return strings.TrimRight(line, "\r\n"), err
 }
 
-// AwaitClose waits until the system ends the session and returns the error that
-// shows it; it returns nil when a line came instead, which nobody asked for.
+// AwaitClose waits until the server closes the session and returns the read error. It
+// returns nil if an unexpected line arrives instead.
 func (s *Session) AwaitClose() error {
-	_, err := s.line()
+	_, err := s.readLine()
 	return err
 }
 
-// NextID returns the id that the next statement will have.
-func (s *Session) NextID() string { return fmt.Sprintf("%s-%d", s.name, s.next+1) }
+// NextID returns the ID of the next statement.
+func (s *Session) NextID() string { return fmt.Sprintf("%s-%d", s.name, s.sent+1) }
 
-// Run sends a statement and reads its answer. After an error the session is of
-// no more use.
+// Run sends a statement and reads its answer. After an error the session cannot be
+// used again.
 func (s *Session) Run(text string) (Answer, error) {
 	a := Answer{ID: s.NextID()}
-	s.next++
-	if _, err := fmt.Fprintf(s.net, "QUERY %s %s\r\n", a.ID, text); err != nil {
+	s.sent++
+	if _, err := fmt.Fprintf(s.netConn, "QUERY %s %s\r\n", a.ID, text); err != nil {
 		return a, err
 	}
 	for {
-		line, err := s.line()
+		line, err := s.readLine()
 		if err != nil {
 			return a, err
 		}
--- a/standin/lineplatform/config.go
+++ b/standin/lineplatform/config.go
@@ -1,6 +1,6 @@
 package lineplatform
 
-// configBody is the operators' document as it lies in the store.
+// configBody is the configuration document that the operator writes to the store.
 type configBody struct {
 	Version  uint64        `json:"version"`
 	Routes   []routeBody   `json:"routes"`
@@ -12,21 +12,21 @@
 type tenantBody struct {
 	Name string   `json:"name"`
 	Keys []string `json:"api_keys"`
-	// Rate and Burst are missing for a team without a limit.
+	// Rate and Burst are omitted for a team without a rate limit.
 	Rate  float64 `json:"rate_per_s,omitempty"`
 	Burst float64 `json:"burst,omitempty"`
 }
 
 type routeBody struct {
 	Name string `json:"name"`
-	// Host is the name of the database.
-	Host         string `json:"host"`
-	Type         string `json:"type"`
-	Service      string `json:"service"`
-	Timeout      int64  `json:"timeout_ms"`
-	Target       int64  `json:"target_latency_ms"`
-	Priority     int    `json:"priority"`
-	MaxStaleness int64  `json:"max_staleness_ms"`
+	// Database is the name that callers log in with.
+	Database           string `json:"host"`
+	Consistency        string `json:"type"`
+	Service            string `json:"service"`
+	StatementTimeoutMS int64  `json:"timeout_ms"`
+	TargetLatencyMS    int64  `json:"target_latency_ms"`
+	Priority           int    `json:"priority"`
+	MaxStalenessMS     int64  `json:"max_staleness_ms"`
 }
 
 type serviceBody struct {
@@ -36,5 +36,5 @@
 }
 
 type limitsBody struct {
-	TxIdle int64 `json:"tx_idle_ms"`
+	TxIdleMS int64 `json:"tx_idle_ms"`
 }
--- a/standin/lineplatform/conn.go
+++ b/standin/lineplatform/conn.go
@@ -11,45 +11,45 @@
 	"time"
 )
 
-// conn is one connection to a member.
+// conn is one client connection to a member.
 type conn struct {
-	member *Member
-	net    net.Conn
-	// team is in whose name the connection was opened.
-	team     string
-	prepared map[string]string
-	values   map[string]string
-	// inTx, readOnly and pending describe the open transaction.
-	inTx, readOnly, failed bool
-	pending                []write
-	// tx names the open transaction; zero while there is none.
-	tx uint64
-	// goodbye tells that the other end has taken its leave.
-	goodbye bool
+	member  *Member
+	netConn net.Conn
+	// team is the team for which the connection was opened.
+	team               string
+	preparedStatements map[string]string
+	sessionValues      map[string]string
+	// inTx, readOnly, txFailed and pendingWrites describe the open transaction.
+	inTx, readOnly, txFailed bool
+	pendingWrites            []write
+	// txID is the ID of the open transaction, or zero.
+	txID uint64
+	// terminated is set once the client has sent TERMINATE.
+	terminated bool
 }
 
-// reply is the answer to one statement.
+// reply is the answer to one statement. code is empty unless the statement failed.
 type reply struct {
 	rows      []string
 	signature string
 	code      string
 }
 
-func refused(code string) reply { return reply{code: code} }
+func errorReply(code string) reply { return reply{code: code} }
 
 func (m *Member) serve(nc net.Conn) {
 	defer func() { _ = nc.Close() }()
 	r := bufio.NewReader(nc)
-	c := &conn{member: m, net: nc, prepared: map[string]string{}, values: map[string]string{}}
+	c := &conn{member: m, netConn: nc, preparedStatements: map[string]string{}, sessionValues: map[string]string{}}
 	line, err := r.ReadString('\n')
-	if err != nil || m.silent.Load() {
-		m.holdSilent()
+	if err != nil || m.unresponsive.Load() {
+		m.waitWhileUnresponsive()
 		return
 	}
 	if !c.login(strings.TrimRight(line, "\r\n")) {
 		return
 	}
-	defer c.leave()
+	defer c.untrack()
 	for {
 		line, err := r.ReadString('\n')
 		if err != nil {
@@ -57,110 +57,114 @@
 		}
 		line = strings.TrimRight(line, "\r\n")
 		if line == "TERMINATE" {
-			c.goodbye = true
+			c.terminated = true
 			return
 		}
-		if m.silent.Load() {
-			m.holdSilent()
+		if m.unresponsive.Load() {
+			m.waitWhileUnresponsive()
 			return
 		}
-		if !c.answer(line) {
+		if !c.handleQuery(line) {
 			return
 		}
 	}
 }
 
-// holdSilent keeps a connection open while the member is silent.
-func (m *Member) holdSilent() {
-	for m.silent.Load() {
+// waitWhileUnresponsive keeps a connection open, without an answer, while the member
+// is unresponsive.
+func (m *Member) waitWhileUnresponsive() {
+	for m.unresponsive.Load() {
 		time.Sleep(time.Millisecond)
 	}
 }
 
+// login answers the START line and reports whether the connection was accepted.
 func (c *conn) login(line string) bool {
 	m := c.member
-	f := strings.Fields(line)
+	fields := strings.Fields(line)
 	code := ""
 	m.group.mu.Lock()
 	switch {
-	case len(f) < 3 || f[0] != "START":
+	case len(fields) < 3 || fields[0] != "START":
 		code = "MALFORMED"
-	case f[1] != m.group.service || (len(f) > 3 && f[3] != m.ID):
+	case fields[1] != m.group.service || (len(fields) > 3 && fields[3] != m.ID):
 		code = "MISROUTED"
 	case len(m.conns) >= m.group.opts.MaxConnections:
 		code = "TOOMANY"
-		m.crowded.Add(1)
+		m.refusedLogins.Add(1)
 	default:
 		m.conns[c] = true
 	}
 	m.group.mu.Unlock()
 	if code != "" {
-		_, _ = fmt.Fprintf(c.net, "ERROR %s %s\r\n", code, m.ID)
+		_, _ = fmt.Fprintf(c.netConn, "ERROR %s %s\r\n", code, m.ID)
 		return false
 	}
-	c.team = f[2]
-	m.logins.Add(1)
-	m.work()
-	_, err := fmt.Fprintf(c.net, "READY I %s\r\n", m.Position())
+	c.team = fields[2]
+	m.acceptedLogins.Add(1)
+	m.occupySlot()
+	_, err := fmt.Fprintf(c.netConn, "READY I %s\r\n", m.Position())
 	return err == nil
 }
 
-func (c *conn) leave() {
+// untrack removes the connection from the member's connections.
+func (c *conn) untrack() {
 	c.member.group.mu.Lock()
 	defer c.member.group.mu.Unlock()
-	if c.member.conns[c] && !c.goodbye {
-		c.member.abandoned.Add(1)
+	if c.member.conns[c] && !c.terminated {
+		c.member.abandonedConns.Add(1)
 	}
 	delete(c.member.conns, c)
 }
 
-// work takes a slot for the time of one statement.
-func (m *Member) work() {
+// occupySlot waits for a free slot and occupies it for the service time.
+func (m *Member) occupySlot() {
 	m.slots <- struct{}{}
-	time.Sleep(m.group.opts.Work)
+	time.Sleep(m.group.opts.ServiceTime)
 	<-m.slots
 }
 
-// answer runs one QUERY line; it reports whether the connection goes on.
-func (c *conn) answer(line string) bool {
+// handleQuery executes and answers one QUERY line. It returns false if the
+// connection has to be closed.
+func (c *conn) handleQuery(line string) bool {
 	id, text, _ := strings.Cut(strings.TrimPrefix(line, "QUERY "), " ")
-	rep := c.run(id, text)
-	if id != "-" && c.member.loseAnswers.Load() > 0 {
-		c.member.loseAnswers.Add(-1)
+	answer := c.execute(id, text)
+	if id != "-" && c.member.answersToDrop.Load() > 0 {
+		c.member.answersToDrop.Add(-1)
 		return true
 	}
 	var b strings.Builder
-	for _, row := range rep.rows {
+	for _, row := range answer.rows {
 		b.WriteString("DATAROW " + row + "\r\n")
 	}
-	if rep.code != "" {
-		b.WriteString("ERROR " + rep.code + " " + c.member.ID + "\r\n")
+	if answer.code != "" {
+		b.WriteString("ERROR " + answer.code + " " + c.member.ID + "\r\n")
 	} else {
-		b.WriteString("COMPLETE " + rep.signature + "\r\n")
+		b.WriteString("COMPLETE " + answer.signature + "\r\n")
 	}
 	state := "I"
 	if c.inTx {
 		state = "T"
 	}
-	if c.failed {
+	if c.txFailed {
 		state = "E"
 	}
 	b.WriteString("READY " + state + " " + c.member.Position() + "\r\n")
-	_, err := c.net.Write([]byte(b.String()))
+	_, err := c.netConn.Write([]byte(b.String()))
 	return err == nil
 }
 
-// run carries one statement out.
-func (c *conn) run(id, text string) reply {
+// execute executes one statement.
+func (c *conn) execute(id, text string) reply {
 	m := c.member
 	if rest, found := strings.CutPrefix(text, "AFTER "); found {
 		position, statement, _ := strings.Cut(rest, " ")
-		holds, err := m.holds(position)
+		replicated, err := m.hasReplicated(position)
 		if err != nil {
-			return refused("MALFORMED")
+			return errorReply("MALFORMED")
 		}
-		if !holds {
-			return refused("LAGGING")
+		if !replicated {
+			return errorReply("LAGGING")
 		}
 		text = statement
 	}
@@ -168,21 +172,21 @@
 	name, value, _ := strings.Cut(rest, " ")
 	switch verb {
 	case "SET":
-		c.values[name] = value
+		c.sessionValues[name] = value
 	case "PREPARE":
-		c.prepared[name] = value
+		c.preparedStatements[name] = value
 	case "RESET":
-		clear(c.values)
-		clear(c.prepared)
+		clear(c.sessionValues)
+		clear(c.preparedStatements)
 	case "EXECUTE":
-		shape, found := c.prepared[name]
+		shape, found := c.preparedStatements[name]
 		if !found {
-			return refused("NOSTMT")
+			return errorReply("NOSTMT")
 		}
-		kind, _, _ := strings.Cut(shape, " ")
-		return c.data(kind, value, Run{ID: id, Text: text, Shape: shape})
+		preparedVerb, _, _ := strings.Cut(shape, " ")
+		return c.readOrWrite(preparedVerb, value, Execution{ID: id, Text: text, Shape: shape})
 	case "FETCH", "STORE":
-		return c.data(verb, rest, Run{ID: id, Text: text})
+		return c.readOrWrite(verb, rest, Execution{ID: id, Text: text})
 	case "BEGIN":
 		return c.begin(rest == "FETCH")
 	case "COMMIT":
@@ -190,143 +194,147 @@
 	case "ROLLBACK":
 		c.endTx()
 	case "STATUS", "RESUME":
-		return m.order(verb, 0)
+		return m.control(verb, 0)
 	case "PAUSE", "STEPDOWN":
-		term, err := number(rest)
+		term, err := parseUint(rest)
 		if err != nil {
-			return refused("MALFORMED")
+			return errorReply("MALFORMED")
 		}
-		return m.order(verb, term)
+		return m.control(verb, term)
 	default:
-		return refused("MALFORMED")
+		return errorReply("MALFORMED")
 	}
 	return reply{signature: "-"}
 }
 
-// holds reports whether the member's log holds a position, written TERM.NUMBER.
-func (m *Member) holds(position string) (bool, error) {
-	at, err := ParsePlace(position)
+// hasReplicated reports whether the member's log contains a position, given as
+// TERM.OFFSET.
+func (m *Member) hasReplicated(position string) (bool, error) {
+	want, err := ParsePosition(position)
 	if err != nil {
 		return false, err
 	}
 	m.group.mu.Lock()
 	defer m.group.mu.Unlock()
-	m.receive()
-	return m.has(at.Term, at.Number), nil
+	m.replicate()
+	return m.hasPosition(want.Term, want.Offset), nil
 }
 
 func (c *conn) endTx() {
-	c.inTx, c.readOnly, c.failed, c.pending, c.tx = false, false, false, nil, 0
+	c.inTx, c.readOnly, c.txFailed, c.pendingWrites, c.txID = false, false, false, nil, 0
 }
 
 func (c *conn) begin(readOnly bool) reply {
 	c.member.group.mu.Lock()
 	defer c.member.group.mu.Unlock()
 	if !readOnly && !c.member.primary {
-		return refused("READONLY")
+		return errorReply("READONLY")
 	}
 	c.inTx, c.readOnly = true, readOnly
-	c.member.group.nextTx++
-	c.tx = c.member.group.nextTx
+	c.member.group.lastTxID++
+	c.txID = c.member.group.lastTxID
 	return reply{signature: "-"}
 }
 
-// lostLead reports whether a plain transaction's member no longer leads.
-func (c *conn) lostLead() bool { return c.inTx && !c.readOnly && !c.member.primary }
+// lostPrimary reports whether the connection has an open read-write transaction on a
+// member that is no longer the primary.
+func (c *conn) lostPrimary() bool { return c.inTx && !c.readOnly && !c.member.primary }
 
-// record keeps what ran, with the state that it ran in. It is called with the
-// group's lock held.
-func (c *conn) record(run Run) {
-	run.Member, run.Position, run.Tx = c.member.ID, c.member.position(), c.tx
-	run.Team, run.At = c.team, time.Now()
-	for _, name := range slices.Sorted(maps.Keys(c.values)) {
-		run.Values += name + "=" + c.values[name] + " "
+// recordExecution records a statement with the state of the connection and the
+// member. The caller holds the group's mutex.
+func (c *conn) recordExecution(execution Execution) {
+	execution.Member, execution.Position, execution.TxID = c.member.ID, c.member.lastPosition(), c.txID
+	execution.Team, execution.ExecutedAt = c.team, time.Now()
+	for _, name := range slices.Sorted(maps.Keys(c.sessionValues)) {
+		execution.SessionValues += name + "=" + c.sessionValues[name] + " "
 	}
-	c.member.group.runs = append(c.member.group.runs, run)
+	c.member.group.executions = append(c.member.group.executions, execution)
 }
 
-// data runs a read or a write.
-func (c *conn) data(verb, args string, run Run) reply {
-	id := run.ID
+// readOrWrite executes a FETCH or a STORE.
+func (c *conn) readOrWrite(verb, args string, execution Execution) reply {
+	id := execution.ID
 	m := c.member
-	if m.refuse.Load() > 0 {
-		m.refuse.Add(-1)
-		return refused("BUSY")
+	if m.statementsToRefuse.Load() > 0 {
+		m.statementsToRefuse.Add(-1)
+		return errorReply("BUSY")
 	}
-	m.work()
+	m.occupySlot()
 	m.group.mu.Lock()
 	defer m.group.mu.Unlock()
-	m.receive()
-	if c.lostLead() || (verb == "STORE" && !m.primary) {
-		c.failed = c.inTx
-		return refused("READONLY")
+	m.replicate()
+	if c.lostPrimary() || (verb == "STORE" && !m.primary) {
+		c.txFailed = c.inTx
+		return errorReply("READONLY")
 	}
 	item, value, _ := strings.Cut(args, " ")
 	if verb == "FETCH" {
-		run.Row = m.lookup(item)
+		execution.Row = m.lookup(item)
 	}
-	c.record(run)
+	c.recordExecution(execution)
 	if verb == "FETCH" {
-		return reply{rows: []string{run.Row}, signature: "sig-" + m.ID + "-" + id}
+		return reply{rows: []string{execution.Row}, signature: "sig-" + m.ID + "-" + id}
 	}
-	w := write{id: id, item: item, data: value}
+	w := write{statementID: id, item: item, value: value}
 	if c.inTx {
-		c.pending = append(c.pending, w)
+		c.pendingWrites = append(c.pendingWrites, w)
 	} else {
-		m.keep([]write{w})
+		m.appendCommit([]write{w})
 	}
 	return reply{signature: "sig-" + m.ID + "-" + id}
 }
 
 func (c *conn) commit(id string) reply {
 	m := c.member
-	m.work()
+	m.occupySlot()
 	m.group.mu.Lock()
 	defer m.group.mu.Unlock()
 	defer c.endTx()
-	c.record(Run{ID: id, Text: "COMMIT"})
-	if c.failed || !c.inTx {
-		return refused("ABORTED")
+	c.recordExecution(Execution{ID: id, Text: "COMMIT"})
+	if c.txFailed || !c.inTx {
+		return errorReply("ABORTED")
 	}
-	if len(c.pending) > 0 {
+	if len(c.pendingWrites) > 0 {
 		if !m.primary {
-			return refused("READONLY")
+			return errorReply("READONLY")
 		}
-		m.keep(c.pending)
+		m.appendCommit(c.pendingWrites)
 	}
 	return reply{signature: "sig-" + m.ID + "-" + id}
 }
 
-// keep appends a commit to the primary's log.
-func (m *Member) keep(writes []write) {
-	at := Place{Term: m.term, Number: uint64(len(m.log) + 1)}
-	m.log = append(m.log, entry{term: at.Term, number: at.Number, at: time.Now(), writes: writes})
+// appendCommit appends a commit to the primary's log. The caller holds the group's
+// mutex.
+func (m *Member) appendCommit(writes []write) {
+	at := Position{Term: m.term, Offset: uint64(len(m.log) + 1)}
+	m.log = append(m.log, logEntry{term: at.Term, offset: at.Offset, committedAt: time.Now(), writes: writes})
 	for _, w := range writes {
-		m.group.committed[w.id]++
-		m.group.commits[w.id] = at
+		m.group.commitCounts[w.statementID]++
+		m.group.lastCommits[w.statementID] = at
 	}
 }
 
-// order carries out a status request or an order.
-func (m *Member) order(verb string, term uint64) reply {
+// control executes STATUS, PAUSE, RESUME or STEPDOWN and answers with the member's
+// status.
+func (m *Member) control(verb string, term uint64) reply {
 	m.group.mu.Lock()
 	defer m.group.mu.Unlock()
-	m.receive()
+	m.replicate()
 	switch {
 	case verb == "PAUSE" && term > m.term:
-		m.held = term
+		m.pausedTerm = term
 	case verb == "RESUME":
-		m.held = 0
+		m.pausedTerm = 0
 	case verb == "STEPDOWN" && term > m.term:
 		m.primary = false
-		go m.announce()
+		go m.register()
 	}
 	role := "replica"
 	if m.primary {
 		role = "primary"
 	}
 	row := strings.Join([]string{
-		role, strconv.FormatUint(m.term, 10), m.position(), strconv.FormatUint(m.held, 10), "0",
+		role, strconv.FormatUint(m.term, 10), m.lastPosition(), strconv.FormatUint(m.pausedTerm, 10), "0",
 		strconv.Itoa(len(m.slots)), strconv.Itoa(len(m.conns)),
 	}, " ")
 	return reply{rows: []string{row}, signature: "-"}
--- a/standin/lineplatform/group.go
+++ b/standin/lineplatform/group.go
@@ -15,69 +15,68 @@
 	Members        int
 	Slots          int
 	MaxConnections int
-	// Work is the slot time of a read, a write or a commit, and of a login.
-	Work time.Duration
-	// Lag is how far replicas are behind.
-	Lag time.Duration
-	// PromoteTime is how long a promotion takes.
-	PromoteTime time.Duration
-	Zones       []string
-	// Front returns the address that a member's entry names in place of its own,
-	// such as a proxy's; nil leaves it.
-	Front func(address string) (string, error)
+	// ServiceTime is how long a login, a read, a write or a commit occupies a slot.
+	ServiceTime time.Duration
+	// ReplicationLag is how long after the primary a replica gets a commit.
+	ReplicationLag time.Duration
+	// PromotionTime is how long a promotion takes.
+	PromotionTime time.Duration
+	Zones         []string
+	// AdvertisedAddress maps a member's address to the one in its store entry, such as
+	// that of a proxy. If nil, the entry has the member's own address.
+	AdvertisedAddress func(address string) (string, error)
 }
 
-// entry is one commit in a log.
-type entry struct {
-	term, number uint64
-	at           time.Time
+// logEntry is one commit in a member's log.
+type logEntry struct {
+	term, offset uint64
+	committedAt  time.Time
 	writes       []write
 }
 
-// write is one stored item of a commit.
-type write struct{ id, item, data string }
+// write is one item that a commit stores.
+type write struct{ statementID, item, value string }
 
-// Run is one statement that a member ran.
-type Run struct {
+// Execution records one statement that a member executed.
+type Execution struct {
 	ID, Member, Text string
-	// Position is the end of the log that it ran on.
+	// Position is the end of the member's log at that time.
 	Position string
-	// Row is what a read returned.
+	// Row is the result of a read.
 	Row string
-	// Tx tells the transactions of a group apart; zero outside of one.
-	Tx uint64
-	// Values are the connection's session values, in order of their names.
-	Values string
-	// Shape is what a prepared statement was prepared as.
+	// TxID is unique to the transaction within the group; zero outside a transaction.
+	TxID uint64
+	// SessionValues are the values that SET gave the connection, sorted by name.
+	SessionValues string
+	// Shape is the text that PREPARE gave a prepared statement.
 	Shape string
-	// Team is in whose name its connection was opened.
-	Team string
-	// At is when it ran.
-	At time.Time
+	// Team is the team for which the connection was opened.
+	Team       string
+	ExecutedAt time.Time
 }
 
-// Place is a place in a group's log.
-type Place struct{ Term, Number uint64 }
+// Position is a position in a group's log.
+type Position struct{ Term, Offset uint64 }
 
-// ParsePlace reads the form that String writes, TERM.NUMBER.
-func ParsePlace(text string) (Place, error) {
-	first, second, _ := strings.Cut(text, ".")
-	term, err := number(first)
+// ParsePosition parses the TERM.OFFSET form that String returns.
+func ParsePosition(text string) (Position, error) {
+	termText, offsetText, _ := strings.Cut(text, ".")
+	term, err := parseUint(termText)
 	if err != nil {
-		return Place{}, err
+		return Position{}, err
 	}
-	n, err := number(second)
+	offset, err := parseUint(offsetText)
 	if err != nil {
-		return Place{}, err
+		return Position{}, err
 	}
-	return Place{Term: term, Number: n}, nil
+	return Position{Term: term, Offset: offset}, nil
 }
 
-func (p Place) String() string {
-	return strconv.FormatUint(p.Term, 10) + "." + strconv.FormatUint(p.Number, 10)
+func (p Position) String() string {
+	return strconv.FormatUint(p.Term, 10) + "." + strconv.FormatUint(p.Offset, 10)
 }
 
-// Group is one database group. Its lock guards all members' data.
+// Group is one database group. Its mutex guards the data of all members.
 type Group struct {
 	platform *Platform
 	service  string
@@ -86,24 +85,24 @@
 	mu      sync.Mutex
 	term    uint64
 	members []*Member
-	// source is the member that led last: replicas receive its log, also after
-	// it stepped down.
-	source *Member
-	runs   []Run
-	// committed counts, for each request id, the commits that kept its write.
-	committed map[string]int
-	// commits holds where the newest of them lies in the log.
-	commits map[string]Place
-	// starts holds, for each promotion, the new term and the end of the log that
-	// it started from. What lay above it was rolled back.
-	starts []Place
-	nextTx uint64
-	nextID int
+	// replicationSource is the latest primary. Replicas copy its log even after it
+	// stepped down.
+	replicationSource *Member
+	executions        []Execution
+	// commitCounts holds how many commits contain the write of each statement ID.
+	commitCounts map[string]int
+	// lastCommits holds the log position of the latest of these commits.
+	lastCommits map[string]Position
+	// termStarts holds, for each promotion, the new term and the end of the new
+	// primary's log. Entries above that offset were rolled back.
+	termStarts       []Position
+	lastTxID         uint64
+	lastMemberNumber int
 }
 
 // AddGroup starts a group whose first member is the primary.
 func (p *Platform) AddGroup(service string, o Options) (*Group, error) {
-	g := &Group{platform: p, service: service, opts: o, term: 1, committed: map[string]int{}, commits: map[string]Place{}}
+	g := &Group{platform: p, service: service, opts: o, term: 1, commitCounts: map[string]int{}, lastCommits: map[string]Position{}}
 	for range o.Members {
 		if _, err := g.AddMember(); err != nil {
 			g.close()
@@ -111,13 +110,13 @@
 		}
 	}
 	g.mu.Lock()
-	g.members[0].primary, g.source = true, g.members[0]
+	g.members[0].primary, g.replicationSource = true, g.members[0]
 	g.mu.Unlock()
 	p.mu.Lock()
 	p.groups[service] = g
 	p.mu.Unlock()
 	for _, m := range g.Members() {
-		m.announce()
+		m.register()
 	}
 	return g, nil
 }
@@ -125,8 +124,8 @@
 // AddMember starts one more member, as a replica.
 func (g *Group) AddMember() (*Member, error) {
 	g.mu.Lock()
-	g.nextID++
-	n := g.nextID
+	g.lastMemberNumber++
+	n := g.lastMemberNumber
 	g.mu.Unlock()
 	zone := "z"
 	if len(g.opts.Zones) > 0 {
@@ -142,18 +141,17 @@
 	return m, nil
 }
 
-// front returns the address to advertise for a member.
-func (g *Group) front(address string) (string, error) {
-	if g.opts.Front == nil {
+func (g *Group) advertisedAddress(address string) (string, error) {
+	if g.opts.AdvertisedAddress == nil {
 		return address, nil
 	}
-	return g.opts.Front(address)
+	return g.opts.AdvertisedAddress(address)
 }
 
-// Remove ends a member that has announced its leave, for good.
+// Remove stops a draining member, deletes its entry and drops it from the group.
 func (g *Group) Remove(m *Member) {
 	m.Crash()
-	m.Lapse()
+	m.Deregister()
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.members = slices.DeleteFunc(g.members, func(x *Member) bool { return x == m })
@@ -165,14 +163,13 @@
 	}
 }
 
-// Members returns all members.
 func (g *Group) Members() []*Member {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return append([]*Member(nil), g.members...)
 }
 
-// Primary returns the member that leads, or nil.
+// Primary returns the running member that acts as primary, or nil.
 func (g *Group) Primary() *Member {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -184,84 +181,87 @@
 	return nil
 }
 
-// Committed returns how often the write of a request was kept.
-func (g *Group) Committed(id string) int {
+// CommitCount returns how many commits contain the write of a statement.
+func (g *Group) CommitCount(id string) int {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.committed[id]
+	return g.commitCounts[id]
 }
 
-// Runs returns what the members ran.
-func (g *Group) Runs() []Run {
+// Executions returns the statements that the members executed, in order.
+func (g *Group) Executions() []Execution {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return append([]Run(nil), g.runs...)
+	return append([]Execution(nil), g.executions...)
 }
 
-// promote makes a member lead the next term with what it has received.
+// promote starts to make a member the primary of the next term. It returns false
+// if the member is down or unknown.
 func (g *Group) promote(id string) bool {
 	g.mu.Lock()
-	var chosen *Member
+	var candidate *Member
 	for _, m := range g.members {
 		if m.ID == id && !m.down {
-			chosen = m
+			candidate = m
 		}
 	}
-	if chosen == nil || chosen.primary {
+	if candidate == nil || candidate.primary {
 		g.mu.Unlock()
-		return chosen != nil
+		return candidate != nil
 	}
 	g.mu.Unlock()
-	time.AfterFunc(g.opts.PromoteTime, func() { g.takeLead(chosen) })
+	time.AfterFunc(g.opts.PromotionTime, func() { g.completePromotion(candidate) })
 	return true
 }
 
-func (g *Group) takeLead(chosen *Member) {
+// completePromotion makes the member the primary with the log that it has
+// replicated, and truncates the logs of the others to match.
+func (g *Group) completePromotion(candidate *Member) {
 	g.mu.Lock()
-	chosen.receive()
+	candidate.replicate()
 	g.term++
-	g.starts = append(g.starts, Place{Term: g.term, Number: uint64(len(chosen.log))})
-	g.source = chosen
+	g.termStarts = append(g.termStarts, Position{Term: g.term, Offset: uint64(len(candidate.log))})
+	g.replicationSource = candidate
 	for _, m := range g.members {
-		m.primary, m.held = m == chosen, 0
+		m.primary, m.pausedTerm = m == candidate, 0
 		m.term = g.term
-		if m != chosen {
-			m.truncate(chosen)
+		if m != candidate {
+			m.dropDivergent(candidate)
 		}
 	}
 	g.mu.Unlock()
 	for _, m := range g.Members() {
-		m.announce()
+		m.register()
 	}
 }
 
-// entryBody is a member's entry in the store.
-type entryBody struct {
-	Service  string `json:"service"`
-	Address  string `json:"address"`
-	Zone     string `json:"zone"`
-	Version  string `json:"version"`
-	Capacity int    `json:"capacity"`
-	State    string `json:"state"`
-	ColdLeft int    `json:"cold_left_ms"`
-	Role     string `json:"db_role"`
-	Sequence uint64 `json:"sequence"`
-	// Born is the Unix millisecond of the member's start.
-	Born int64 `json:"born"`
+// registrationBody is a member's entry in the store.
+type registrationBody struct {
+	Service    string `json:"service"`
+	Address    string `json:"address"`
+	Zone       string `json:"zone"`
+	Version    string `json:"version"`
+	Capacity   int    `json:"capacity"`
+	State      string `json:"state"`
+	ColdLeftMS int    `json:"cold_left_ms"`
+	Role       string `json:"db_role"`
+	Sequence   uint64 `json:"sequence"`
+	// BornMS is the member's start time as Unix milliseconds.
+	BornMS int64 `json:"born"`
 }
 
-// softwareVersion is what the members' entries name.
+// softwareVersion is the version in the members' entries.
 const softwareVersion = "v1"
 
-// announce writes the member's entry.
-func (m *Member) announce() {
+// register writes the entry of a running member, with the next sequence number.
+func (m *Member) register() {
 	m.group.mu.Lock()
 	m.sequence++
-	body := entryBody{
-		Service: m.group.service, Address: m.advertised, Zone: m.zone, Version: softwareVersion, Capacity: m.group.opts.Slots,
-		State: "ready", Role: "replica", Sequence: m.sequence, Born: m.born,
+	body := registrationBody{
+		Service: m.group.service, Address: m.advertisedAddress, Zone: m.zone, Version: softwareVersion, Capacity: m.group.opts.Slots,
+		State: "ready", Role: "replica", Sequence: m.sequence, BornMS: m.startedAtMS,
 	}
-	if m.leaving {
+	if m.draining {
 		body.State = "draining"
 	}
 	if m.primary {
@@ -279,45 +279,44 @@
 	m.group.platform.Store.Put(memberKey(m.ID), data)
 }
 
-// Lapse removes the member's entry, as silence does, and Announce brings it
-// back.
-func (m *Member) Lapse() { m.group.platform.Store.Delete(memberKey(m.ID)) }
+// Deregister deletes the member's entry, as its expiry does.
+func (m *Member) Deregister() { m.group.platform.Store.Delete(memberKey(m.ID)) }
 
-// Announce writes the member's entry again.
-func (m *Member) Announce() { m.announce() }
+// Register writes the member's entry again.
+func (m *Member) Register() { m.register() }
 
-// Drain announces that the member leaves.
+// Drain marks the member's entry as draining.
 func (m *Member) Drain() {
 	m.group.mu.Lock()
-	m.leaving = true
+	m.draining = true
 	m.group.mu.Unlock()
-	m.announce()
+	m.register()
 }
 
-// Term returns the newest term.
+// Term returns the latest term.
 func (g *Group) Term() uint64 {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.term
 }
 
-// Commit returns where a request's write was kept last; zero for one that was
-// not kept.
-func (g *Group) Commit(id string) Place {
+// LastCommit returns the position of the latest commit that contains a statement's
+// write, or zero if there is none.
+func (g *Group) LastCommit(id string) Position {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.commits[id]
+	return g.lastCommits[id]
 }
 
-// Starts returns, for each promotion, the new term and the end of the log that
-// it started from.
-func (g *Group) Starts() []Place {
+// TermStarts returns, for each promotion, the new term and the end of the new
+// primary's log.
+func (g *Group) TermStarts() []Position {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return append([]Place(nil), g.starts...)
+	return append([]Position(nil), g.termStarts...)
 }
 
-// memberPrefix is where members keep their entries.
+// memberPrefix is the store prefix of the members' entries.
 const memberPrefix = "servers/"
 
 func memberKey(id string) string { return memberPrefix + id }
--- a/standin/lineplatform/member.go
+++ b/standin/lineplatform/member.go
@@ -10,64 +10,64 @@
 	"github.com/dotterelswitch/dotterelswitch/standin/loopback"
 )
 
-// Member is one member of a group. The group's lock guards its fields but for
-// those that say otherwise.
+// Member is one member of a group. The group's mutex guards its mutable fields,
+// except for the atomic ones and restartMu.
 type Member struct {
 	group   *Group
 	ID      string
 	zone    string
 	address string
-	// advertised is the address in the member's entry.
-	advertised string
-	slots      chan struct{}
+	// advertisedAddress is the address in the member's store entry.
+	advertisedAddress string
+	slots             chan struct{}
 
-	primary bool
-	leaving bool
-	down    bool
-	term    uint64
-	// born is the Unix millisecond of the present start, and sequence counts the
-	// entries that were written since.
-	born     int64
-	sequence uint64
-	// held is the term of a pause in receiving; zero for none.
-	held     uint64
-	deaf     bool
-	log      []entry
-	conns    map[*conn]bool
-	listener net.Listener
+	primary  bool
+	draining bool
+	down     bool
+	term     uint64
+	// startedAtMS is the time of the last start as Unix milliseconds; sequence counts
+	// the entries written since.
+	startedAtMS int64
+	sequence    uint64
+	// pausedTerm is the term for which PAUSE stopped replication, or zero.
+	pausedTerm         uint64
+	replicationBlocked bool
+	log                []logEntry
+	conns              map[*conn]bool
+	listener           net.Listener
 
-	// restarts lets one restart happen at a time.
-	restarts sync.Mutex
-	// silent is set while the member answers nothing; loseAnswers is how many
-	// answers are still to be lost, and refuse how many statements get BUSY.
-	silent      atomic.Bool
-	loseAnswers atomic.Int64
-	refuse      atomic.Int64
-	logins      atomic.Int64
-	crowded     atomic.Int64
-	// abandoned counts the connections that were accepted and have ended without a
-	// word.
-	abandoned atomic.Int64
+	// restartMu serializes restarts.
+	restartMu sync.Mutex
+	// unresponsive is set while the member answers nothing; answersToDrop is how many
+	// statements still get no answer, and statementsToRefuse how many still get BUSY.
+	unresponsive       atomic.Bool
+	answersToDrop      atomic.Int64
+	statementsToRefuse atomic.Int64
+	acceptedLogins     atomic.Int64
+	refusedLogins      atomic.Int64
+	// abandonedConns counts accepted connections that closed without TERMINATE.
+	abandonedConns atomic.Int64
 }
 
-// start opens the listener, at the old address after a crash. While the member
-// is down no outgoing connection can take that address.
+// start opens the listener, after a crash at the previous address. Loopback
+// listeners use ports that the system gives to no outgoing connection, so that the
+// address is still free.
 func (m *Member) start() error {
 	l, err := m.listen()
 	if err != nil {
 		return err
 	}
-	address, advertised := l.Addr().String(), m.advertised
-	if advertised == "" {
-		advertised, err = m.group.front(address)
+	address, advertisedAddress := l.Addr().String(), m.advertisedAddress
+	if advertisedAddress == "" {
+		advertisedAddress, err = m.group.advertisedAddress(address)
 		if err != nil {
 			_ = l.Close()
 			return err
 		}
 	}
 	m.group.mu.Lock()
-	m.listener, m.address, m.advertised, m.down = l, address, advertised, false
-	m.born, m.sequence = max(time.Now().UnixMilli(), m.born+1), 0
+	m.listener, m.address, m.advertisedAddress, m.down = l, address, advertisedAddress, false
+	m.startedAtMS, m.sequence = max(time.Now().UnixMilli(), m.startedAtMS+1), 0
 	m.conns = map[*conn]bool{}
 	m.group.mu.Unlock()
 	go m.accept(l)
@@ -91,13 +91,13 @@
 	}
 }
 
-// Address returns where the member listens.
+// Address returns the address on which the member listens.
 func (m *Member) Address() string { return m.address }
 
-// Advertised returns the address in the member's entry.
-func (m *Member) Advertised() string { return m.advertised }
+// AdvertisedAddress returns the address in the member's store entry.
+func (m *Member) AdvertisedAddress() string { return m.advertisedAddress }
 
-// Crash ends the member: its listener and connections are gone.
+// Crash closes the member's listener and connections. Its log remains.
 func (m *Member) Crash() {
 	m.group.mu.Lock()
 	m.down, m.primary = true, false
@@ -109,46 +109,45 @@
 	m.group.mu.Unlock()
 	_ = l.Close()
 	for _, c := range open {
-		_ = c.net.Close()
+		_ = c.netConn.Close()
 	}
 }
 
-// Restart starts a crashed member with its log, as a replica.
-// It does nothing for one that is up: of two crashes that overlap, the end of
-// the first has started it.
+// Restart starts a crashed member with its log, as a replica. It does nothing for a
+// running member: after two overlapping crashes, the first call has restarted it.
 func (m *Member) Restart() error {
-	m.restarts.Lock()
-	defer m.restarts.Unlock()
+	m.restartMu.Lock()
+	defer m.restartMu.Unlock()
 	if !m.isDown() {
 		return nil
 	}
 	if err := m.start(); err != nil {
 		return err
 	}
-	m.announce()
+	m.register()
 	return nil
 }
 
-// RestartEmpty starts a crashed member under its id with nothing of what it
-// held. Leads tells that it takes itself for the primary all the same; replicas
-// then receive nothing until one of them is promoted.
-func (m *Member) RestartEmpty(leads bool) error {
-	m.restarts.Lock()
-	defer m.restarts.Unlock()
+// RestartEmpty starts a crashed member under its ID with an empty log. asPrimary
+// makes it act as primary. If it was the replication source, replicas get no commits
+// until the next promotion.
+func (m *Member) RestartEmpty(asPrimary bool) error {
+	m.restartMu.Lock()
+	defer m.restartMu.Unlock()
 	if !m.isDown() {
 		return nil
 	}
 	m.group.mu.Lock()
-	m.log, m.held, m.primary = nil, 0, leads
-	if m.group.source == m {
-		// Nobody has a log for the replicas to receive.
-		m.group.source = nil
+	m.log, m.pausedTerm, m.primary = nil, 0, asPrimary
+	if m.group.replicationSource == m {
+		// Replicas must not truncate their logs to match the empty one.
+		m.group.replicationSource = nil
 	}
 	m.group.mu.Unlock()
 	if err := m.start(); err != nil {
 		return err
 	}
-	m.announce()
+	m.register()
 	return nil
 }
 
@@ -158,109 +157,116 @@
 	return m.down
 }
 
-// Draining reports whether the member has announced its leave.
+// Draining reports whether Drain was called.
 func (m *Member) Draining() bool {
 	m.group.mu.Lock()
 	defer m.group.mu.Unlock()
-	return m.leaving
+	return m.draining
 }
 
-// Gone reports whether the member was removed from its group.
-func (m *Member) Gone() bool { return !slices.Contains(m.group.Members(), m) }
+// Removed reports whether the member was removed from its group.
+func (m *Member) Removed() bool { return !slices.Contains(m.group.Members(), m) }
 
-// Silence makes the member answer nothing, or answer again.
-func (m *Member) Silence(on bool) { m.silent.Store(on) }
+// SetUnresponsive makes the member accept connections without answering, or answer
+// again.
+func (m *Member) SetUnresponsive(on bool) { m.unresponsive.Store(on) }
 
-// LoseAnswers makes the member run the next n statements without answering.
-func (m *Member) LoseAnswers(n int) { m.loseAnswers.Store(int64(n)) }
+// DropAnswers makes the member execute the next n statements without answering.
+func (m *Member) DropAnswers(n int) { m.answersToDrop.Store(int64(n)) }
 
-// RefuseNext makes the member answer BUSY to the next n statements.
-func (m *Member) RefuseNext(n int) { m.refuse.Store(int64(n)) }
+// RefuseStatements makes the member answer BUSY to the next n reads and writes.
+func (m *Member) RefuseStatements(n int) { m.statementsToRefuse.Store(int64(n)) }
 
-// Deafen stops the member from receiving, or lets it receive again.
-func (m *Member) Deafen(on bool) {
+// SetReplicationBlocked stops the member from replicating, or lets it replicate
+// again.
+func (m *Member) SetReplicationBlocked(on bool) {
 	m.group.mu.Lock()
 	defer m.group.mu.Unlock()
-	m.receive()
-	m.deaf = on
+	m.replicate()
+	m.replicationBlocked = on
 }
 
-// Depose makes a replica of the primary without telling anyone, as a promotion
-// elsewhere does that this stand-in's callers have not heard of.
-func (m *Member) Depose() {
+// Demote makes the primary a replica without updating its entry, as a promotion that
+// hosts have not yet observed does.
+func (m *Member) Demote() {
 	m.group.mu.Lock()
 	defer m.group.mu.Unlock()
 	m.primary = false
 }
 
-// Logins returns how many connections were accepted, and how many turned away.
-func (m *Member) Logins() (accepted, crowded int64) { return m.logins.Load(), m.crowded.Load() }
+// Logins returns how many logins were accepted, and how many were refused because
+// MaxConnections was reached.
+func (m *Member) Logins() (accepted, refused int64) {
+	return m.acceptedLogins.Load(), m.refusedLogins.Load()
+}
 
-// Abandoned returns how many accepted connections have ended without a word: a
-// host gives up one whose answer did not come, and takes its leave of others.
-func (m *Member) Abandoned() int64 { return m.abandoned.Load() }
+// AbandonedConns returns how many accepted connections were closed without
+// TERMINATE, as a host does when an answer timed out.
+func (m *Member) AbandonedConns() int64 { return m.abandonedConns.Load() }
 
 // Position returns the end of the member's log.
 func (m *Member) Position() string {
 	m.group.mu.Lock()
 	defer m.group.mu.Unlock()
-	m.receive()
-	return m.position()
+	m.replicate()
+	return m.lastPosition()
 }
 
-// position is the place of the newest entry: of an older term, on a new primary
-// that has not written yet.
-func (m *Member) position() string {
+// lastPosition returns the position of the last log entry. Its term is older than
+// the member's on a new primary without a commit.
+func (m *Member) lastPosition() string {
 	if len(m.log) == 0 {
-		return Place{Term: m.term}.String()
+		return Position{Term: m.term}.String()
 	}
 	last := m.log[len(m.log)-1]
-	return Place{Term: last.term, Number: last.number}.String()
+	return Position{Term: last.term, Offset: last.offset}.String()
 }
 
-// receive copies from the primary what is older than the lag. It is called
-// with the group's lock held.
-func (m *Member) receive() {
-	lead := m.group.source
-	if lead == nil || lead == m || lead.down || m.deaf || m.held != 0 || m.down {
+// replicate copies the source's log entries that are older than the replication
+// lag. The caller holds the group's mutex.
+func (m *Member) replicate() {
+	source := m.group.replicationSource
+	if source == nil || source == m || source.down || m.replicationBlocked || m.pausedTerm != 0 || m.down {
 		return
 	}
-	m.truncate(lead)
-	limit := time.Now().Add(-m.group.opts.Lag)
-	for n := len(m.log); n < len(lead.log) && lead.log[n].at.Before(limit); n++ {
-		m.log = append(m.log, lead.log[n])
+	m.dropDivergent(source)
+	cutoff := time.Now().Add(-m.group.opts.ReplicationLag)
+	for n := len(m.log); n < len(source.log) && source.log[n].committedAt.Before(cutoff); n++ {
+		m.log = append(m.log, source.log[n])
 	}
-	m.term = lead.term
+	m.term = source.term
 }
 
-// truncate drops the entries that are not on the leader's branch.
-func (m *Member) truncate(lead *Member) {
-	same := 0
-	for same < len(m.log) && same < len(lead.log) && m.log[same].term == lead.log[same].term {
-		same++
+// dropDivergent truncates the log to the prefix that it shares with the source's, if
+// it diverges or is longer.
+func (m *Member) dropDivergent(source *Member) {
+	common := 0
+	for common < len(m.log) && common < len(source.log) && m.log[common].term == source.log[common].term {
+		common++
 	}
-	if same < len(m.log) && same < len(lead.log) || len(m.log) > len(lead.log) {
-		m.log = slices.Clone(m.log[:same])
+	if common < len(m.log) && common < len(source.log) || len(m.log) > len(source.log) {
+		m.log = slices.Clone(m.log[:common])
 	}
 }
 
-// has reports whether the log holds a position.
-func (m *Member) has(term, number uint64) bool {
-	if number == 0 {
+// hasPosition reports whether the log contains a position. Offset zero only requires
+// the term.
+func (m *Member) hasPosition(term, offset uint64) bool {
+	if offset == 0 {
 		return m.term >= term
 	}
-	if uint64(len(m.log)) < number {
+	if uint64(len(m.log)) < offset {
 		return false
 	}
-	return m.log[number-1].term == term || (m.log[number-1].term < term && m.term >= term)
+	return m.log[offset-1].term == term || (m.log[offset-1].term < term && m.term >= term)
 }
 
-// lookup returns the newest data of an item.
+// lookup returns the latest value of an item, or "none".
 func (m *Member) lookup(item string) string {
 	for i := len(m.log) - 1; i >= 0; i-- {
 		for _, w := range m.log[i].writes {
 			if w.item == item {
-				return w.data
+				return w.value
 			}
 		}
 	}
--- a/standin/lineplatform/member_test.go
+++ b/standin/lineplatform/member_test.go
@@ -9,13 +9,13 @@
 	"github.com/dotterelswitch/dotterelswitch/standin/lineplatform"
 )
 
-// TestOverlappingCrashesOfAMember: the end of each crash starts the member, and
-// the second finds it up.
+// TestOverlappingCrashesOfAMember checks that a second Restart of a member that is
+// already running does not fail.
 func TestOverlappingCrashesOfAMember(t *testing.T) {
 	p, err := lineplatform.Start()
 	require.NoError(t, err)
 	defer p.Close()
-	g, err := p.AddGroup("svc", lineplatform.Options{Members: 3, Slots: 1, MaxConnections: 4, Work: time.Millisecond, Zones: []string{"a"}})
+	g, err := p.AddGroup("svc", lineplatform.Options{Members: 3, Slots: 1, MaxConnections: 4, ServiceTime: time.Millisecond, Zones: []string{"a"}})
 	require.NoError(t, err)
 	m := g.Members()[1]
 	m.Crash()
--- a/standin/lineplatform/platform.go
+++ b/standin/lineplatform/platform.go
@@ -1,7 +1,7 @@
 // Package lineplatform is a stand-in for the users' platform: a key-value
-// store, the call that promotes a member, and database groups that speak the
-// line protocol, on loopback TCP. Faults are injected from outside; what the
-// members ran is recorded, so that a test can hold callers' answers against it.
+// store, the promotion call, and database groups that speak the line protocol, on
+// loopback TCP. Tests inject faults, and compare the answers that callers got with
+// the recorded statements that members executed.
 package lineplatform
 
 import (
@@ -14,53 +14,57 @@
 	"time"
 )
 
-// configKey is where the operator writes the configuration.
-const configKey = "op/config"
+// configVersionStep is the difference between one configuration version and the next.
+const configVersionStep = 2
 
-// fence is the newest token of a service, and the host that came with it first.
+// configurationKey is the store key of the configuration.
+const configurationKey = "op/config"
+
+// fence is the highest fencing token of a service and the first host that used it.
 type fence struct {
 	token  uint64
 	holder string
 }
 
-// Platform is the stand-in. It is safe for concurrent use.
+// Platform serves the store and the promotion call and owns the groups. It is safe
+// for concurrent use.
 type Platform struct {
-	Store  *Store
-	server *http.Server
-	listen net.Listener
-
-	mu      sync.Mutex
-	groups  map[string]*Group
-	fences  map[string]fence
-	version uint64
-	// document is the newest configuration.
-	document []byte
-	// sharedTokens counts the promotion calls with the newest token of a service that
-	// came from another host than its first.
-	sharedTokens int
-	refuse       int
-	teams        []Team
+	Store    *Store
+	server   *http.Server
+	listener net.Listener
+
+	mu            sync.Mutex
+	groups        map[string]*Group
+	fences        map[string]fence
+	configVersion uint64
+	// configDocument is the latest configuration, as JSON.
+	configDocument []byte
+	// tokenConflicts counts promotion calls that used the highest token of a service
+	// from another host than the first that used it.
+	tokenConflicts     int
+	promotionsToRefuse int
+	teams              []Team
 }
 
-// Start runs a platform without groups.
+// Start starts a platform without groups.
 func Start() (*Platform, error) {
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
-	p := &Platform{Store: newStore(), listen: l, groups: map[string]*Group{}, fences: map[string]fence{}}
+	p := &Platform{Store: newStore(), listener: listener, groups: map[string]*Group{}, fences: map[string]fence{}}
 	mux := http.NewServeMux()
-	p.Store.handle(mux)
-	mux.HandleFunc("POST /promote", p.promote)
+	p.Store.registerHandlers(mux)
+	mux.HandleFunc("POST /promote", p.handlePromote)
 	p.server = &http.Server{Handler: mux}
-	go func() { _ = p.server.Serve(l) }()
+	go func() { _ = p.server.Serve(listener) }()
 	return p, nil
 }
 
-// Address returns where the store and the promotion call are served.
-func (p *Platform) Address() string { return p.listen.Addr().String() }
+// Address returns the address that serves the store and the promotion call.
+func (p *Platform) Address() string { return p.listener.Addr().String() }
 
-// Close ends the platform and its groups.
+// Close stops the platform and its groups.
 func (p *Platform) Close() {
 	p.mu.Lock()
 	groups := p.groups
@@ -73,38 +77,39 @@
 	_ = p.server.Close()
 }
 
-// Route is one database of the configuration.
+// Route is the configuration of one database.
 type Route struct {
-	Database, Service, Consistency string
-	Timeout, Target, MaxStaleness  time.Duration
-	Priority                       int
+	Database, Service, Consistency                string
+	StatementTimeout, TargetLatency, MaxStaleness time.Duration
+	Priority                                      int
 }
 
-// Team is an organisation whose callers hold keys; a zero Rate is no limit.
+// Team is an organisation whose callers have API keys. Rate is in statements per
+// second; zero means unlimited.
 type Team struct {
 	Name        string
 	Keys        []string
 	Rate, Burst float64
 }
 
-// SetTeams has the following configurations ask callers for a key of these teams.
-// Without any, nobody is asked for one.
+// SetTeams sets the teams that later configurations declare. Their callers have to
+// present a key of a declared team; without any team, no key is required.
 func (p *Platform) SetTeams(teams ...Team) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.teams = teams
 }
 
-// Configure writes the next version of the configuration and returns it.
+// Configure writes the next version of the configuration and returns the version.
 func (p *Platform) Configure(routes []Route, txIdle time.Duration) uint64 {
 	p.mu.Lock()
-	p.version += 2
-	body := configBody{Version: p.version, Limits: limitsBody{TxIdle: txIdle.Milliseconds()}}
+	p.configVersion += configVersionStep
+	body := configBody{Version: p.configVersion, Limits: limitsBody{TxIdleMS: txIdle.Milliseconds()}}
 	for _, r := range routes {
 		body.Routes = append(body.Routes, routeBody{
-			Name: "route-" + r.Database, Host: r.Database, Type: r.Consistency, Service: r.Service,
-			Timeout: r.Timeout.Milliseconds(), Target: r.Target.Milliseconds(),
-			Priority: r.Priority, MaxStaleness: r.MaxStaleness.Milliseconds(),
+			Name: "route-" + r.Database, Database: r.Database, Consistency: r.Consistency, Service: r.Service,
+			StatementTimeoutMS: r.StatementTimeout.Milliseconds(), TargetLatencyMS: r.TargetLatency.Milliseconds(),
+			Priority: r.Priority, MaxStalenessMS: r.MaxStaleness.Milliseconds(),
 		})
 	}
 	for _, g := range p.groups {
@@ -113,18 +118,18 @@
 	for _, t := range p.teams {
 		body.Tenants = append(body.Tenants, tenantBody(t))
 	}
-	version := p.version
+	version := p.configVersion
 	data, err := json.Marshal(body)
 	if err != nil {
 		panic(err)
 	}
-	p.document = data
+	p.configDocument = data
 	p.mu.Unlock()
-	p.Store.Put(configKey, data)
+	p.Store.Put(configurationKey, data)
 	return version
 }
 
-// Services returns the names of the groups, in order.
+// Services returns the names of the groups, sorted.
 func (p *Platform) Services() []string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -135,49 +140,50 @@
 func (p *Platform) RefusePromotions(n int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.refuse = n
+	p.promotionsToRefuse = n
 }
 
-// SharedTokens returns how many promotion calls came with a token that was another
-// host's.
-func (p *Platform) SharedTokens() int {
+// TokenConflicts returns how many promotion calls used a fencing token that another
+// host had used first.
+func (p *Platform) TokenConflicts() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.sharedTokens
+	return p.tokenConflicts
 }
 
-// RestoreStore has the store be away for a while and return from a copy. After a
-// further while the operator and the members write again what they had written, and
-// the entries of members that are gone lapse.
-func (p *Platform) RestoreStore(c Copy, away, rewrite time.Duration) {
-	p.Store.Fail(Refusing)
-	time.Sleep(away)
-	p.Store.Restore(c)
-	p.Store.Fail(Up)
-	time.Sleep(rewrite)
+// RestoreStore makes the store unavailable for the outage and restores it from a
+// backup. After rewriteDelay it writes the latest configuration and the entries of
+// running members again, and deletes the entries of removed members.
+func (p *Platform) RestoreStore(b Backup, outage, rewriteDelay time.Duration) {
+	p.Store.SetFailureMode(Unavailable)
+	time.Sleep(outage)
+	p.Store.Restore(b)
+	p.Store.SetFailureMode(Healthy)
+	time.Sleep(rewriteDelay)
 	p.mu.Lock()
-	document := p.document
+	document := p.configDocument
 	groups := slices.Collect(maps.Values(p.groups))
 	p.mu.Unlock()
-	p.Store.Put(configKey, document)
-	present := map[string]bool{}
+	p.Store.Put(configurationKey, document)
+	current := map[string]bool{}
 	for _, g := range groups {
 		for _, m := range g.Members() {
-			present[memberKey(m.ID)] = true
+			current[memberKey(m.ID)] = true
 			if !m.isDown() {
-				m.announce()
+				m.register()
 			}
 		}
 	}
 	for _, key := range p.Store.Keys(memberPrefix) {
-		if !present[key] {
+		if !current[key] {
 			p.Store.Delete(key)
 		}
 	}
 }
 
-// promote serves the promotion call.
-func (p *Platform) promote(w http.ResponseWriter, r *http.Request) {
+// handlePromote serves the promotion call. It rejects a fencing token below the
+// highest one of the service.
+func (p *Platform) handlePromote(w http.ResponseWriter, r *http.Request) {
 	var body struct {
 		Service string `json:"service"`
 		ID      string `json:"id"`
@@ -186,23 +192,23 @@
 		w.WriteHeader(http.StatusBadRequest)
 		return
 	}
-	token, err := number(r.Header.Get("X-Dotterelswitch-Fencing-Token"))
+	token, err := parseUint(r.Header.Get("X-Dotterelswitch-Fencing-Token"))
 	if err != nil {
 		w.WriteHeader(http.StatusBadRequest)
 		return
 	}
 	p.mu.Lock()
-	g, known := p.groups[body.Service]
-	refused := p.refuse > 0
+	group, known := p.groups[body.Service]
+	refused := p.promotionsToRefuse > 0
 	if refused {
-		p.refuse--
+		p.promotionsToRefuse--
 	}
-	holder, newest := r.Header.Get("X-Dotterelswitch-Duty-Holder"), p.fences[body.Service]
-	fenced := token < newest.token
-	if token == newest.token && holder != newest.holder && newest.holder != "" {
-		p.sharedTokens++
+	holder, highest := r.Header.Get("X-Dotterelswitch-Duty-Holder"), p.fences[body.Service]
+	fenced := token < highest.token
+	if token == highest.token && holder != highest.holder && highest.holder != "" {
+		p.tokenConflicts++
 	}
-	if known && token > newest.token && !refused {
+	if known && token > highest.token && !refused {
 		p.fences[body.Service] = fence{token: token, holder: holder}
 	}
 	p.mu.Unlock()
@@ -211,7 +217,7 @@
 		w.WriteHeader(http.StatusServiceUnavailable)
 	case !known:
 		w.WriteHeader(http.StatusNotFound)
-	case fenced || !g.promote(body.ID):
+	case fenced || !group.promote(body.ID):
 		w.WriteHeader(http.StatusConflict)
 	}
 }
--- a/standin/lineplatform/store.go
+++ b/standin/lineplatform/store.go
@@ -6,56 +6,60 @@
 	"sync"
 )
 
-// kvItem is one key of the store.
+// kvItem is the JSON form of one key: an item, a change in the history, a
+// precondition or a write of a transaction.
 type kvItem struct {
 	Key      string `json:"key"`
 	Value    []byte `json:"value,omitempty"`
 	Revision uint64 `json:"revision"`
 	Created  uint64 `json:"created,omitempty"`
-	Lease    uint64 `json:"lease_id"`
+	LeaseID  uint64 `json:"lease_id"`
 	Deleted  bool   `json:"deleted,omitempty"`
 }
 
-// Outage is how the store fails.
-type Outage uint8
+// FailureMode is how the store handles calls.
+type FailureMode uint8
 
-// The outages.
+// The failure modes.
 const (
-	// Up means that the store serves.
-	Up Outage = iota
-	// Refusing answers 503.
-	Refusing
-	// Silent accepts calls and does not answer.
-	Silent
-	// LosingAnswers carries writes out and does not answer.
-	LosingAnswers
+	// Healthy serves all calls.
+	Healthy FailureMode = iota
+	// Unavailable answers 503.
+	Unavailable
+	// Unresponsive accepts calls and does not answer.
+	Unresponsive
+	// DroppingAnswers executes writes and closes their connections without an answer.
+	// Reads are served.
+	DroppingAnswers
 )
 
-// firstEra is the era of a store that has never lost anything.
-const firstEra = 1
+// initialEra is the era of a store that was never restored from a backup.
+const initialEra = 1
 
 // Store is the key-value store. It is safe for concurrent use.
 type Store struct {
 	mu sync.Mutex
-	// era rises by one each time the store comes back from a copy.
-	era       uint64
-	revision  uint64
-	compacted uint64
-	items     map[string]kvItem
-	history   []kvItem
-	leases    map[uint64]*lease
-	changed   chan struct{}
-	outage    Outage
-	// deaf is set while watches that wait hear of no change.
-	deaf   bool
-	closed chan struct{}
-	calls  int
-	// watches counts the calls to watch among them.
-	watches int
+	// era is incremented each time the store is restored from a backup.
+	era      uint64
+	revision uint64
+	// compactedRevision is the oldest revision from which history is complete.
+	compactedRevision uint64
+	items             map[string]kvItem
+	history           []kvItem
+	leases            map[uint64]*lease
+	// changeSignal is closed by the next change that watches are notified of.
+	changeSignal chan struct{}
+	failureMode  FailureMode
+	// watchesBlocked is set while waiting watches are not notified of changes.
+	watchesBlocked bool
+	closed         chan struct{}
+	callCount      int
+	// watchCallCount is how many of the calls were to watch.
+	watchCallCount int
 }
 
 func newStore() *Store {
-	return &Store{era: firstEra, items: map[string]kvItem{}, leases: map[uint64]*lease{}, changed: make(chan struct{}), closed: make(chan struct{})}
+	return &Store{era: initialEra, items: map[string]kvItem{}, leases: map[uint64]*lease{}, changeSignal: make(chan struct{}), closed: make(chan struct{})}
 }
 
 func (s *Store) close() {
@@ -67,104 +71,107 @@
 	}
 }
 
-// Fail sets how the store fails from now on.
-func (s *Store) Fail(o Outage) {
+// SetFailureMode sets how the store handles calls from now on.
+func (s *Store) SetFailureMode(mode FailureMode) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.outage = o
+	s.failureMode = mode
 }
 
-// Calls returns how many calls came.
-func (s *Store) Calls() int {
+// CallCount returns how many calls the store has received.
+func (s *Store) CallCount() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.calls
+	return s.callCount
 }
 
-// Watches returns how many calls to watch came.
-func (s *Store) Watches() int {
+// WatchCallCount returns how many calls to watch the store has received.
+func (s *Store) WatchCallCount() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.watches
+	return s.watchCallCount
 }
 
-// Deafen makes watches that wait hear nothing, or hear again.
-func (s *Store) Deafen(on bool) {
+// SetWatchesBlocked stops the store from notifying waiting watches of changes, or
+// lets it notify them again.
+func (s *Store) SetWatchesBlocked(on bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.deaf = on
+	s.watchesBlocked = on
 }
 
-// Compact drops the history; watches that need it get 410.
+// Compact drops the history. Watches from an older revision get 410.
 func (s *Store) Compact() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.compacted, s.history = s.revision, nil
+	s.compactedRevision, s.history = s.revision, nil
 }
 
-// Put writes a key as the operator or a member does.
+// Put writes a key, as the operator or a member does, and returns the revision.
 func (s *Store) Put(key string, value []byte) uint64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.revision++
 	s.set(key, value, 0)
-	s.wake()
+	s.notifyWatches()
 	return s.revision
 }
 
-// Delete removes a key as a member that leaves does.
+// Delete removes a key, as a stopping member does.
 func (s *Store) Delete(key string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if _, found := s.items[key]; found {
 		s.revision++
-		s.drop(key)
-		s.wake()
+		s.remove(key)
+		s.notifyWatches()
 	}
 }
 
-// Get returns a key's value and the revision of its last change; zero for a key
-// that does not exist.
+// Get returns a key's value and the revision of its last change, or nil and zero if
+// the key does not exist.
 func (s *Store) Get(key string) ([]byte, uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	i := s.items[key]
-	return i.Value, i.Revision
+	item := s.items[key]
+	return item.Value, item.Revision
 }
 
-// Keys returns the keys with a prefix.
+// Keys returns the keys with a prefix, sorted.
 func (s *Store) Keys(prefix string) []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	var out []string
+	var keys []string
 	for key := range s.items {
 		if strings.HasPrefix(key, prefix) {
-			out = append(out, key)
+			keys = append(keys, key)
 		}
 	}
-	slices.Sort(out)
-	return out
+	slices.Sort(keys)
+	return keys
 }
 
-// set and drop change a key in the present revision, with mu held.
-func (s *Store) set(key string, value []byte, lease uint64) {
-	i := kvItem{Key: key, Value: value, Revision: s.revision, Created: s.revision, Lease: lease}
+// set writes a key in the current revision. The caller holds mu.
+func (s *Store) set(key string, value []byte, leaseID uint64) {
+	item := kvItem{Key: key, Value: value, Revision: s.revision, Created: s.revision, LeaseID: leaseID}
 	if old, found := s.items[key]; found {
-		i.Created = old.Created
+		item.Created = old.Created
 	}
-	s.items[key] = i
-	s.history = append(s.history, i)
+	s.items[key] = item
+	s.history = append(s.history, item)
 }
 
-func (s *Store) drop(key string) {
+// remove deletes a key in the current revision. The caller holds mu.
+func (s *Store) remove(key string) {
 	delete(s.items, key)
 	s.history = append(s.history, kvItem{Key: key, Revision: s.revision, Deleted: true})
 }
 
-func (s *Store) wake() {
-	if s.deaf {
+// notifyWatches makes waiting watches look for changes. The caller holds mu.
+func (s *Store) notifyWatches() {
+	if s.watchesBlocked {
 		return
 	}
-	close(s.changed)
-	s.changed = make(chan struct{})
+	close(s.changeSignal)
+	s.changeSignal = make(chan struct{})
 }
--- a/standin/lineplatform/store_calls.go
+++ b/standin/lineplatform/store_calls.go
@@ -9,88 +9,89 @@
 	"time"
 )
 
-// pageSize is how many keys one answer to a listing holds; few, so that
-// listings of small deployments have several pages.
+// pageSize is how many keys one page of a listing holds. It is small so that listings
+// of small deployments have several pages.
 const pageSize = 50
 
-// storeCall carries out one call and returns the status and the body.
-type storeCall func(r *http.Request) (int, any)
+// storeHandler executes one call and returns the HTTP status and the JSON body.
+type storeHandler func(r *http.Request) (int, any)
 
-// listAnswer is one page of a listing.
-type listAnswer struct {
+// listResponse is one page of a listing.
+type listResponse struct {
 	Items    []kvItem `json:"items"`
 	HasMore  bool     `json:"has_more"`
 	Revision uint64   `json:"at_rev"`
 }
 
-// watchAnswer is what a watch has seen.
-type watchAnswer struct {
+// watchResponse holds the changes that a watch found.
+type watchResponse struct {
 	Events   []kvItem `json:"events"`
 	Revision uint64   `json:"at_rev"`
 }
 
-// txnBody is a conditional change.
+// txnBody is the request of a conditional transaction.
 type txnBody struct {
-	Conditions []kvItem `json:"precondition"`
-	Writes     []kvItem `json:"writes"`
-	Deletes    []string `json:"deletes"`
+	Preconditions []kvItem `json:"precondition"`
+	Writes        []kvItem `json:"writes"`
+	Deletes       []string `json:"deletes"`
 }
 
-// txnAnswer answers a change that was made.
-type txnAnswer struct {
+// txnResponse is the answer to a committed transaction.
+type txnResponse struct {
 	Revision uint64 `json:"revision"`
 }
 
-// txnConflict answers a change whose conditions did not hold.
+// txnConflict is the answer to a transaction whose preconditions did not hold.
 type txnConflict struct {
 	Items []kvItem `json:"items"`
 }
 
-func (s *Store) handle(mux *http.ServeMux) {
-	for path, call := range map[string]storeCall{
+func (s *Store) registerHandlers(mux *http.ServeMux) {
+	for pattern, handler := range map[string]storeHandler{
 		"GET /dotterelswitch/kv-range": s.list, "GET /dotterelswitch/kv-watch": s.watch,
-		"POST /dotterelswitch/kv-txn": s.txn, "POST /dotterelswitch/kv-lease": s.grant,
-		"POST /dotterelswitch/kv-keep/{id}": s.keep, "DELETE /dotterelswitch/kv-lease-end/{id}": s.end,
+		"POST /dotterelswitch/kv-txn": s.txn, "POST /dotterelswitch/kv-lease": s.grantLease,
+		"POST /dotterelswitch/kv-keep/{id}": s.renewLease, "DELETE /dotterelswitch/kv-lease-end/{id}": s.revokeLease,
 	} {
-		mux.HandleFunc(path, func(w http.ResponseWriter, r *http.Request) { s.serve(w, r, call) })
+		mux.HandleFunc(pattern, func(w http.ResponseWriter, r *http.Request) { s.serve(w, r, handler) })
 	}
 }
 
-func (s *Store) serve(w http.ResponseWriter, r *http.Request, call storeCall) {
-	switch outage := s.count(r); {
-	case outage == Refusing:
+// serve handles a call according to the failure mode.
+func (s *Store) serve(w http.ResponseWriter, r *http.Request, handler storeHandler) {
+	switch mode := s.countCall(r); {
+	case mode == Unavailable:
 		w.Header().Set("Store-Era", strconv.FormatUint(s.Era(), 10))
 		w.WriteHeader(http.StatusServiceUnavailable)
-	case outage == Silent:
+	case mode == Unresponsive:
 		select {
 		case <-r.Context().Done():
 		case <-s.closed:
 		}
-	case outage == LosingAnswers && r.Method != http.MethodGet:
-		call(r)
+	case mode == DroppingAnswers && r.Method != http.MethodGet:
+		handler(r)
 		panic(http.ErrAbortHandler)
 	default:
-		s.answer(w, r, call)
+		s.respond(w, r, handler)
 	}
 }
 
-// count counts a call and returns how the store fails at present.
-func (s *Store) count(r *http.Request) Outage {
+// countCall counts a call and returns the current failure mode.
+func (s *Store) countCall(r *http.Request) FailureMode {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.calls++
+	s.callCount++
 	if strings.HasSuffix(r.URL.Path, "/kv-watch") {
-		s.watches++
+		s.watchCallCount++
 	}
-	return s.outage
+	return s.failureMode
 }
 
-func (s *Store) answer(w http.ResponseWriter, r *http.Request, call storeCall) {
-	status, body := call(r)
+func (s *Store) respond(w http.ResponseWriter, r *http.Request, handler storeHandler) {
+	status, body := handler(r)
 	w.Header().Set("Store-Era", strconv.FormatUint(s.Era(), 10))
 	w.WriteHeader(status)
 	if body != nil {
-		// A caller that has hung up does not read its answer.
+		// Encoding fails only if the client has closed the connection.
 		_ = json.NewEncoder(w).Encode(body)
 	}
 }
@@ -100,61 +101,61 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	items := []kvItem{}
-	for _, i := range s.items {
-		if strings.HasPrefix(i.Key, prefix) && i.Key > after {
-			items = append(items, i)
+	for _, item := range s.items {
+		if strings.HasPrefix(item.Key, prefix) && item.Key > after {
+			items = append(items, item)
 		}
 	}
 	slices.SortFunc(items, func(a, b kvItem) int { return strings.Compare(a.Key, b.Key) })
-	more := len(items) > pageSize
-	return http.StatusOK, listAnswer{Items: items[:min(len(items), pageSize)], HasMore: more, Revision: s.revision}
+	hasMore := len(items) > pageSize
+	return http.StatusOK, listResponse{Items: items[:min(len(items), pageSize)], HasMore: hasMore, Revision: s.revision}
 }
 
 func (s *Store) watch(r *http.Request) (int, any) {
-	q := r.URL.Query()
-	after, err := number(q.Get("after"))
+	query := r.URL.Query()
+	after, err := parseUint(query.Get("after"))
 	if err != nil {
 		return http.StatusBadRequest, nil
 	}
-	wait, err := number(q.Get("wait_ms"))
+	waitMS, err := parseUint(query.Get("wait_ms"))
 	if err != nil {
 		return http.StatusBadRequest, nil
 	}
-	timer := time.NewTimer(time.Duration(wait) * time.Millisecond)
+	timer := time.NewTimer(time.Duration(waitMS) * time.Millisecond)
 	defer timer.Stop()
 	for {
-		answer, changed, kept := s.since(q.Get("prefix"), after)
-		if !kept {
+		response, changed, retained := s.changesSince(query.Get("prefix"), after)
+		if !retained {
 			return http.StatusGone, nil
 		}
-		if len(answer.Events) > 0 {
-			return http.StatusOK, answer
+		if len(response.Events) > 0 {
+			return http.StatusOK, response
 		}
 		select {
 		case <-changed:
 		case <-timer.C:
-			return http.StatusOK, answer
+			return http.StatusOK, response
 		case <-r.Context().Done():
-			return http.StatusOK, answer
+			return http.StatusOK, response
 		case <-s.closed:
 			return http.StatusServiceUnavailable, nil
 		}
 	}
 }
 
-// since returns the changes after a revision, and a channel that is closed by
-// the next one. It returns false when the history does not reach back so far, or
-// not up to the revision.
-func (s *Store) since(prefix string, after uint64) (watchAnswer, <-chan struct{}, bool) {
+// changesSince returns the changes after a revision, and a channel that is closed by
+// the next change. It returns false if the history no longer covers the revision, or
+// the store has not reached it.
+func (s *Store) changesSince(prefix string, after uint64) (watchResponse, <-chan struct{}, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	answer := watchAnswer{Events: []kvItem{}, Revision: s.revision}
-	for _, i := range s.history {
-		if i.Revision > after && strings.HasPrefix(i.Key, prefix) {
-			answer.Events = append(answer.Events, i)
+	response := watchResponse{Events: []kvItem{}, Revision: s.revision}
+	for _, change := range s.history {
+		if change.Revision > after && strings.HasPrefix(change.Key, prefix) {
+			response.Events = append(response.Events, change)
 		}
 	}
-	return answer, s.changed, after >= s.compacted && after <= s.revision
+	return response, s.changeSignal, after >= s.compactedRevision && after <= s.revision
 }
 
 func (s *Store) txn(r *http.Request) (int, any) {
@@ -164,41 +165,40 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if current, hold := s.check(body.Conditions); !hold {
+	if current, ok := s.checkPreconditions(body.Preconditions); !ok {
 		return http.StatusPreconditionFailed, txnConflict{Items: current}
 	}
 	for _, w := range body.Writes {
-		if w.Lease != 0 && s.leases[w.Lease] == nil {
+		if w.LeaseID != 0 && s.leases[w.LeaseID] == nil {
 			return http.StatusNotFound, nil
 		}
 	}
 	s.revision++
 	for _, w := range body.Writes {
-		s.set(w.Key, w.Value, w.Lease)
+		s.set(w.Key, w.Value, w.LeaseID)
 	}
 	for _, key := range body.Deletes {
 		if _, found := s.items[key]; found {
-			s.drop(key)
+			s.remove(key)
 		}
 	}
-	s.wake()
-	return http.StatusOK, txnAnswer{Revision: s.revision}
+	s.notifyWatches()
+	return http.StatusOK, txnResponse{Revision: s.revision}
 }
 
-// check returns the present state of the conditions' keys, and whether all
-// conditions hold. It is called with mu held.
-func (s *Store) check(conditions []kvItem) ([]kvItem, bool) {
-	hold := true
+// checkPreconditions returns the current items of the preconditions' keys, and
+// whether all preconditions hold. The caller holds mu.
+func (s *Store) checkPreconditions(preconditions []kvItem) ([]kvItem, bool) {
+	ok := true
 	current := []kvItem{}
-	for _, c := range conditions {
-		i, found := s.items[c.Key]
+	for _, precondition := range preconditions {
+		item, found := s.items[precondition.Key]
 		if found {
-			current = append(current, i)
+			current = append(current, item)
 		}
-		hold = hold && i.Revision == c.Revision
+		ok = ok && item.Revision == precondition.Revision
 	}
-	return current, hold
+	return current, ok
 }
 
-// number reads a number of a call.
-func number(text string) (uint64, error) { return strconv.ParseUint(text, 10, 64) }
+func parseUint(text string) (uint64, error) { return strconv.ParseUint(text, 10, 64) }
--- a/standin/lineplatform/store_lease.go
+++ b/standin/lineplatform/store_lease.go
@@ -6,19 +6,19 @@
 	"time"
 )
 
-// lease is a running lease.
+// lease is a lease that has not expired.
 type lease struct {
 	ttl   time.Duration
 	timer *time.Timer
 }
 
-// leaseAnswer answers the calls about leases.
-type leaseAnswer struct {
-	ID  uint64 `json:"lease_id,omitempty"`
-	TTL int64  `json:"ttl_ms,omitempty"`
+// leaseBody is the request and the answer of the lease calls.
+type leaseBody struct {
+	ID    uint64 `json:"lease_id,omitempty"`
+	TTLMS int64  `json:"ttl_ms,omitempty"`
 }
 
-// EndLease ends a lease and removes its keys, as its expiry does.
+// EndLease ends a lease and deletes its keys, as its expiry does.
 func (s *Store) EndLease(id uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -29,16 +29,16 @@
 	l.timer.Stop()
 	delete(s.leases, id)
 	s.revision++
-	for key, i := range s.items {
-		if i.Lease == id {
-			s.drop(key)
+	for key, item := range s.items {
+		if item.LeaseID == id {
+			s.remove(key)
 		}
 	}
-	s.wake()
+	s.notifyWatches()
 }
 
-func (s *Store) grant(r *http.Request) (int, any) {
-	var body leaseAnswer
+func (s *Store) grantLease(r *http.Request) (int, any) {
+	var body leaseBody
 	if err := json.NewDecoder(r.Body).Decode(&body); err != nil {
 		return http.StatusBadRequest, nil
 	}
@@ -46,18 +46,18 @@
 	defer s.mu.Unlock()
 	s.revision++
 	id := s.revision
-	ttl := time.Duration(body.TTL) * time.Millisecond
+	ttl := time.Duration(body.TTLMS) * time.Millisecond
 	s.leases[id] = s.startLease(id, ttl)
-	return http.StatusOK, leaseAnswer{ID: id, TTL: body.TTL}
+	return http.StatusOK, leaseBody{ID: id, TTLMS: body.TTLMS}
 }
 
-// startLease has a lease run from now on. It is called with mu held.
+// startLease returns a lease whose TTL starts now. The caller holds mu.
 func (s *Store) startLease(id uint64, ttl time.Duration) *lease {
 	return &lease{ttl: ttl, timer: time.AfterFunc(ttl, func() { s.EndLease(id) })}
 }
 
-func (s *Store) keep(r *http.Request) (int, any) {
-	id, err := number(r.PathValue("id"))
+func (s *Store) renewLease(r *http.Request) (int, any) {
+	id, err := parseUint(r.PathValue("id"))
 	if err != nil {
 		return http.StatusBadRequest, nil
 	}
@@ -68,14 +68,14 @@
 		return http.StatusNotFound, nil
 	}
 	l.timer.Reset(l.ttl)
-	return http.StatusOK, leaseAnswer{TTL: l.ttl.Milliseconds()}
+	return http.StatusOK, leaseBody{TTLMS: l.ttl.Milliseconds()}
 }
 
-func (s *Store) end(r *http.Request) (int, any) {
-	id, err := number(r.PathValue("id"))
+func (s *Store) revokeLease(r *http.Request) (int, any) {
+	id, err := parseUint(r.PathValue("id"))
 	if err != nil {
 		return http.StatusBadRequest, nil
 	}
 	s.EndLease(id)
-	return http.StatusOK, leaseAnswer{}
+	return http.StatusOK, leaseBody{}
 }
