--- a/node/bench/fleet/main.go
+++ b/node/bench/fleet/main.go
@@ -82,7 +82,7 @@
 	requests := r.Reads + r.WritesAcked
 	fmt.Printf("load=%d requests_per_s=%.0f host_cpu_us_per_request=%.1f replica_read_share=%.3f read_p50_ms=%.2f read_p99_ms=%.2f write_p50_ms=%.2f write_p99_ms=%.2f cut=%d violations=%+v\n",
 		o.load, float64(requests)/o.span.Seconds(), float64(cpu.Microseconds())/float64(requests), r.ReplicaReadShare,
-		r.ReadP50MS, r.ReadP99MS, r.WriteP50MS, r.WriteP99MS, r.CutRequests, r.Violations)
+		r.ReadP50MS, r.ReadP99MS, r.WriteP50MS, r.WriteP99MS, r.UnansweredRequests, r.Violations)
 }
 
 // printRow prints the mean over the hosts, and the first host's memory.
--- a/node/demo/demo.go
+++ b/node/demo/demo.go
@@ -114,8 +114,8 @@
 	if err != nil {
 		return err
 	}
-	d.dep.Network.Place(s.Listen, zone)
-	d.dep.Network.Place(s.Peer, zone)
+	d.dep.Network.SetZone(s.Listen, zone)
+	d.dep.Network.SetZone(s.Peer, zone)
 	h, err := d.launch(s)
 	if err != nil {
 		return err
@@ -223,7 +223,7 @@
 func (d *demo) entries() []workload.Entry {
 	out := make([]workload.Entry, 0, len(d.hosts))
 	for _, h := range d.hosts {
-		dialer := &netem.Dialer{Network: d.dep.Network, From: h.settings.Zone, Extra: d.spec.CallerDelay}
+		dialer := &netem.Dialer{Network: d.dep.Network, From: h.settings.Zone, ExtraDelay: d.spec.CallerDelay}
 		out = append(out, workload.Entry{Address: h.settings.Listen, Dial: dialer.DialContext})
 	}
 	return out
--- a/node/demo/demo_test.go
+++ b/node/demo/demo_test.go
@@ -40,15 +40,15 @@
 			require.Zero(t, report.SlotBreaches, "more statements than slots")
 			if tc.faults == "rolling-restart" {
 				require.Positive(t, report.Restarts)
-				require.Zero(t, report.CutRequests)
+				require.Zero(t, report.UnansweredRequests)
 				require.Zero(t, report.WritesUnknown)
 			}
 			if tc.faults == "drain-primary" {
-				require.Zero(t, report.CutRequests)
+				require.Zero(t, report.UnansweredRequests)
 				require.Positive(t, report.Promotions, "the primary was not replaced")
 			}
 			if tc.faults == "none" {
-				require.Zero(t, report.CutRequests)
+				require.Zero(t, report.UnansweredRequests)
 				require.Zero(t, report.WritesUnknown)
 				require.Nil(t, report.FailoverGapMS)
 				require.Zero(t, report.ConnectionsRefused, "more connections than the limit")
--- a/node/demo/fault.go
+++ b/node/demo/fault.go
@@ -123,7 +123,7 @@
 	if m == nil {
 		return nil
 	}
-	l.Fault(g.Name())
+	l.RecordPrimaryFailure(g.Name())
 	m.Crash()
 	return func() { _ = m.Restart() }
 }
@@ -135,9 +135,9 @@
 	if m == nil {
 		return nil
 	}
-	l.Fault(g.Name())
+	l.RecordPrimaryFailure(g.Name())
 	for _, z := range d.spec.Zones {
-		d.dep.Network.Cut(m.Addr(), z.Name)
+		d.dep.Network.Partition(m.Addr(), z.Name)
 	}
 	return func() {
 		for _, z := range d.spec.Zones {
@@ -163,7 +163,7 @@
 	zone := m.Zone()
 	for _, g := range d.dep.Groups {
 		if inZone(g, zone) {
-			l.Fault(g.Name())
+			l.RecordPrimaryFailure(g.Name())
 		}
 	}
 	d.dep.Network.Isolate(zone, true)
--- a/node/demo/text.go
+++ b/node/demo/text.go
@@ -21,7 +21,7 @@
 	if r.FailoverGapMS != nil {
 		line("  failover    writes were unavailable for %.0f ms", *r.FailoverGapMS)
 	}
-	line("  cut         %d requests lost their connection without an answer", r.CutRequests)
+	line("  cut         %d requests lost their connection without an answer", r.UnansweredRequests)
 	line("  violations  lost %d, doubled %d, not run but ran %d, read-your-writes %d, staleness %d, wrong answers %d",
 		r.WritesLost, r.WritesDoubled, r.NotRunButRan, r.RYWViolations, r.StalenessViolations, r.WrongAnswers)
 	if r.Violations.Any() {
--- a/node/entry/relay_test.go
+++ b/node/entry/relay_test.go
@@ -68,6 +68,6 @@
 func TestFollowersLeaveRelayCutOffFromStore(t *testing.T) {
 	d := deployLarge(t)
 	relay := d.relayIndex()
-	d.proxies[relay].Set(faultproxy.Fault{HoldToTarget: true, HoldToClient: true})
+	d.proxies[relay].SetFault(faultproxy.Fault{HoldToTarget: true, HoldToClient: true})
 	d.requireConfigChange(d.hostsExcept(relay))
 }
--- a/node/host/config_test.go
+++ b/node/host/config_test.go
@@ -31,7 +31,7 @@
 			var worst, sum time.Duration
 			n := 0
 			for b.Loop() {
-				d.env.Platform.SetSlow(tc.latency)
+				d.env.Platform.SetDelay(tc.latency)
 				elapsed := d.changeAndWait(b, store, n, tc.outage)
 				n++
 				sum += elapsed
--- a/node/host/session_test.go
+++ b/node/host/session_test.go
@@ -219,7 +219,7 @@
 func testStalledReplication(t *testing.T, d *deployment) {
 	members := d.env.Groups[0].Members()
 	for _, m := range members {
-		m.Stall(true)
+		m.SetReplicationStalled(true)
 	}
 	const writers = 90
 	codes := make([]string, writers)
@@ -240,7 +240,7 @@
 	}
 	wg.Wait()
 	for _, m := range members {
-		m.Stall(false)
+		m.SetReplicationStalled(false)
 	}
 	require.Contains(t, codes, "08007")
 	require.Contains(t, codes, "57P05")
--- a/node/soak/inject.go
+++ b/node/soak/inject.go
@@ -40,7 +40,7 @@
 	case CutStore:
 		during(host.store, faultproxy.Fault{HoldToTarget: true, HoldToClient: true}, e.For)
 	case SilenceStore:
-		host.store.Silence()
+		host.store.BlackholeConnections()
 	case StoreRefuses:
 		s.failStore(lineplatform.Refusing, e.For)
 	case StoreSilent:
@@ -79,9 +79,9 @@
 }
 
 func during(p *faultproxy.Proxy, f faultproxy.Fault, d time.Duration) {
-	p.Set(f)
+	p.SetFault(f)
 	time.Sleep(d)
-	p.Set(faultproxy.Fault{})
+	p.SetFault(faultproxy.Fault{})
 }
 
 // harmMember carries out the faults of one member.
@@ -114,9 +114,9 @@
 	case HoldFromMember:
 		during(proxy, faultproxy.Fault{HoldToClient: true}, e.For)
 	case ResetMember:
-		proxy.Reset()
+		proxy.ResetConnections()
 	case SilenceMember:
-		proxy.Silence()
+		proxy.BlackholeConnections()
 	case DeafReplica:
 		m.Deafen(true)
 		time.Sleep(e.For)
--- a/standin/dbgroup/ack_queue.go
+++ b/standin/dbgroup/ack_queue.go
@@ -6,34 +6,34 @@
 	"github.com/dotterelswitch/dotterelswitch/core/logpos"
 )
 
-// ackQueue holds acknowledgements on their way from a replica to its primary.
+// ackQueue delays acknowledgements from a replica to its primary by the link
+// latency.
 type ackQueue struct {
-	list []ackInFlight
+	acks []ackInFlight
 }
 
-// ackInFlight is one acknowledgement and when it arrives.
 type ackInFlight struct {
-	position logpos.Position
-	due      time.Time
+	position  logpos.Position
+	arrivesAt time.Time
 }
 
-// push sends an acknowledgement, unless the position is the newest sent.
-func (q *ackQueue) push(p logpos.Position, due time.Time) {
-	if n := len(q.list); n > 0 && q.list[n-1].position == p {
+// push queues an acknowledgement unless it repeats the last one queued.
+func (q *ackQueue) push(p logpos.Position, arrivesAt time.Time) {
+	if n := len(q.acks); n > 0 && q.acks[n-1].position == p {
 		return
 	}
-	q.list = append(q.list, ackInFlight{position: p, due: due})
+	q.acks = append(q.acks, ackInFlight{position: p, arrivesAt: arrivesAt})
 }
 
-// pop returns the newest acknowledgement that has arrived.
+// pop removes the acknowledgements that have arrived and returns the newest.
 func (q *ackQueue) pop(now time.Time) (logpos.Position, bool) {
 	var newest logpos.Position
 	found := false
-	for len(q.list) > 0 && !q.list[0].due.After(now) {
-		newest, found = q.list[0].position, true
-		q.list = q.list[1:]
+	for len(q.acks) > 0 && !q.acks[0].arrivesAt.After(now) {
+		newest, found = q.acks[0].position, true
+		q.acks = q.acks[1:]
 	}
 	return newest, found
 }
 
-func (q *ackQueue) clear() { q.list = nil }
+func (q *ackQueue) clear() { q.acks = nil }
--- a/standin/dbgroup/backend_conn.go
+++ b/standin/dbgroup/backend_conn.go
@@ -11,38 +11,36 @@
 	"github.com/dotterelswitch/dotterelswitch/core/logpos"
 )
 
-// PositionParameter is the name under which a member reports the position of
-// the last commit or snapshot of an exchange, ahead of ReadyForQuery. An
-// exchange that neither read nor committed reports none.
+// PositionParameter is the ParameterStatus name under which a member reports the
+// position of the last commit or read snapshot, sent before ReadyForQuery. It is
+// omitted after an exchange that neither read nor committed.
 const PositionParameter = "group.position"
 
 const textOID = 25
 
-// portal is a bound statement.
 type portal struct {
 	statement *prepared
 	params    []string
 }
 
-// prepared is a parsed statement.
 type prepared struct {
 	statements []*statement
 	paramCount int
 }
 
-// backendConn is the server side of one connection.
+// backendConn is the server side of one PostgreSQL connection.
 type backendConn struct {
-	member      *Member
-	conn        net.Conn
-	backend     *pgproto3.Backend
-	exec        *executor
-	pid         uint32
-	secret      string
-	application string
-	prepared    map[string]*prepared
-	portals     map[string]*portal
-	// skip discards extended messages after an error, until Sync.
-	skip bool
+	member          *Member
+	conn            net.Conn
+	backend         *pgproto3.Backend
+	executor        *executor
+	pid             uint32
+	secret          string
+	applicationName string
+	prepared        map[string]*prepared
+	portals         map[string]*portal
+	// skipUntilSync discards extended-protocol messages after an error.
+	skipUntilSync bool
 
 	mu              sync.Mutex
 	cancelStatement context.CancelFunc
@@ -53,11 +51,12 @@
 		member: m, conn: c, backend: pgproto3.NewBackend(c, c), secret: "key!",
 		prepared: make(map[string]*prepared), portals: make(map[string]*portal),
 	}
-	b.exec = &executor{member: m, backend: b}
+	b.executor = &executor{member: m, backend: b}
 	return b
 }
 
-// startup reads the opening messages; it reports whether a session follows.
+// startup handles the startup messages and reports whether the client opens a
+// session.
 func (b *backendConn) startup() bool {
 	for {
 		msg, err := b.backend.ReceiveStartupMessage()
@@ -73,7 +72,7 @@
 			b.member.server.cancel(msg)
 			return false
 		case *pgproto3.StartupMessage:
-			b.application = msg.Parameters["application_name"]
+			b.applicationName = msg.Parameters["application_name"]
 			return true
 		default:
 			return false
@@ -81,21 +80,21 @@
 	}
 }
 
-func (b *backendConn) ready() {
+func (b *backendConn) completeStartup() {
 	b.backend.Send(&pgproto3.AuthenticationOk{})
 	b.backend.Send(&pgproto3.ParameterStatus{Name: "server_version", Value: "16.0"})
 	b.backend.Send(&pgproto3.ParameterStatus{Name: "client_encoding", Value: "UTF8"})
 	b.backend.Send(&pgproto3.ParameterStatus{Name: "standard_conforming_strings", Value: "on"})
 	b.backend.Send(&pgproto3.BackendKeyData{ProcessID: b.pid, SecretKey: []byte(b.secret)})
-	b.readyForQuery()
+	b.sendReadyForQuery()
 }
 
-func (b *backendConn) fatal(code, message string) {
+func (b *backendConn) sendFatal(code, message string) {
 	b.backend.Send(&pgproto3.ErrorResponse{Severity: "FATAL", Code: code, Message: message})
 	_ = b.backend.Flush()
 }
 
-// abort drops the connection without a word.
+// abort closes the connection with a TCP reset.
 func (b *backendConn) abort() {
 	b.cancelRunning()
 	if tcp, ok := b.conn.(*net.TCPConn); ok {
@@ -104,22 +103,22 @@
 	_ = b.conn.Close()
 }
 
-// end rolls back what the connection left open.
-func (b *backendConn) end() {
-	if b.exec.txn != nil {
-		b.member.rollback(b.exec.txn)
-		b.exec.txn = nil
+// rollbackOpen rolls back the transaction that the connection left open.
+func (b *backendConn) rollbackOpen() {
+	if b.executor.txn != nil {
+		b.member.rollback(b.executor.txn)
+		b.executor.txn = nil
 	}
 }
 
-func (b *backendConn) loop() {
+func (b *backendConn) serveMessages() {
 	for {
 		msg, err := b.backend.Receive()
 		if err != nil {
 			return
 		}
-		b.member.faults.gate()
-		if _, last := msg.(*pgproto3.Terminate); last {
+		b.member.faults.waitWhilePaused()
+		if _, isTerminate := msg.(*pgproto3.Terminate); isTerminate {
 			return
 		}
 		b.handle(msg)
@@ -127,7 +126,7 @@
 }
 
 func (b *backendConn) handle(msg pgproto3.FrontendMessage) {
-	if _, sync := msg.(*pgproto3.Sync); b.skip && !sync {
+	if _, isSync := msg.(*pgproto3.Sync); b.skipUntilSync && !isSync {
 		return
 	}
 	var err error
@@ -146,32 +145,32 @@
 		delete(b.prepared, msg.Name)
 		b.backend.Send(&pgproto3.CloseComplete{})
 	case *pgproto3.Sync:
-		b.skip = false
-		b.readyForQuery()
+		b.skipUntilSync = false
+		b.sendReadyForQuery()
 	case *pgproto3.Flush:
 		_ = b.backend.Flush()
 	}
 	if err != nil {
 		b.sendError(err)
-		b.skip = true
+		b.skipUntilSync = true
 	}
 }
 
 func (b *backendConn) sendError(err error) {
-	var se *sqlError
-	if !errors.As(err, &se) {
-		se = &sqlError{code: "XX000", message: err.Error()}
+	var sqlErr *sqlError
+	if !errors.As(err, &sqlErr) {
+		sqlErr = &sqlError{code: "XX000", message: err.Error()}
 	}
-	b.backend.Send(&pgproto3.ErrorResponse{Severity: "ERROR", SeverityUnlocalized: "ERROR", Code: se.code, Message: se.message})
+	b.backend.Send(&pgproto3.ErrorResponse{Severity: "ERROR", SeverityUnlocalized: "ERROR", Code: sqlErr.code, Message: sqlErr.message})
 }
 
-func (b *backendConn) readyForQuery() {
-	if !b.exec.position.IsZero() {
-		b.backend.Send(&pgproto3.ParameterStatus{Name: PositionParameter, Value: b.exec.position.String()})
-		b.exec.position = logpos.Position{}
+func (b *backendConn) sendReadyForQuery() {
+	if !b.executor.position.IsZero() {
+		b.backend.Send(&pgproto3.ParameterStatus{Name: PositionParameter, Value: b.executor.position.String()})
+		b.executor.position = logpos.Position{}
 	}
 	status := byte('I')
-	if t := b.exec.txn; t != nil {
+	if t := b.executor.txn; t != nil {
 		status = 'T'
 		if t.failed {
 			status = 'E'
--- a/standin/dbgroup/table.go
+++ b/standin/dbgroup/database.go
@@ -8,13 +8,12 @@
 // LedgerTable is the table in which hosts record idempotency keys.
 const LedgerTable = "dotterelswitch_ledger"
 
-// uniqueColumn names the unique column of the tables that have one.
+// uniqueColumn maps a table to its unique column, if it has one.
 var uniqueColumn = map[string]string{LedgerTable: "key"}
 
-// row is one tuple, by column.
+// row maps column names to values.
 type row map[string]string
 
-// opKind is the kind of a change.
 type opKind uint8
 
 const (
@@ -23,38 +22,38 @@
 	opDelete
 )
 
-// op is one change of a log entry.
+// op is one row change in a log entry.
 type op struct {
 	kind   opKind
 	table  string
 	row    row
 	column string
 	value  string
-	where  match
+	where  predicate
 }
 
-// match selects rows by one column.
-type match struct {
-	column string
-	less   bool
-	value  string
+// predicate compares one column with a value.
+type predicate struct {
+	column   string
+	lessThan bool
+	value    string
 }
 
-func (m match) holds(r row) bool {
-	if m.less {
-		return r[m.column] < m.value
+func (p predicate) matches(r row) bool {
+	if p.lessThan {
+		return r[p.column] < p.value
 	}
-	return r[m.column] == m.value
+	return r[p.column] == p.value
 }
 
-// database is the applied state of a member. Rows are indexed by their first
-// selected column only when a query asks for it.
+// database is the applied state of a member. Rows are indexed by the value of
+// every column.
 type database struct {
 	tables map[string][]row
 	index  map[indexKey][]row
 }
 
-// indexKey finds the rows with one value in one column.
+// indexKey identifies the rows with a given value in a column.
 type indexKey struct{ table, column, value string }
 
 func newDatabase() *database {
@@ -71,29 +70,29 @@
 		}
 	case opUpdate:
 		for i, r := range d.tables[o.table] {
-			if o.where.holds(r) {
-				d.replace(o.table, i, o.column, o.value)
+			if o.where.matches(r) {
+				d.setColumn(o.table, i, o.column, o.value)
 			}
 		}
 	case opDelete:
 		for _, r := range d.tables[o.table] {
-			if o.where.holds(r) {
+			if o.where.matches(r) {
 				d.unindex(o.table, r)
 			}
 		}
-		d.tables[o.table] = slices.DeleteFunc(d.tables[o.table], o.where.holds)
+		d.tables[o.table] = slices.DeleteFunc(d.tables[o.table], o.where.matches)
 	}
 }
 
-func (d *database) replace(table string, i int, column, v string) {
+func (d *database) setColumn(table string, i int, column, v string) {
 	old := d.tables[table][i]
 	d.unindex(table, old)
-	next := maps.Clone(old)
-	next[column] = v
-	d.tables[table][i] = next
-	for c, v := range next {
+	updated := maps.Clone(old)
+	updated[column] = v
+	d.tables[table][i] = updated
+	for c, v := range updated {
 		k := indexKey{table, c, v}
-		d.index[k] = append(d.index[k], next)
+		d.index[k] = append(d.index[k], updated)
 	}
 }
 
@@ -111,19 +110,19 @@
 
 func sameRow(a, b row) bool { return maps.Equal(a, b) }
 
-// find returns the rows that m selects, or all.
-func (d *database) find(table string, m *match) []row {
-	if m == nil {
+// find returns the rows that satisfy where, or all rows if it is nil.
+func (d *database) find(table string, where *predicate) []row {
+	if where == nil {
 		return d.tables[table]
 	}
-	if !m.less {
-		return d.index[indexKey{table, m.column, m.value}]
+	if !where.lessThan {
+		return d.index[indexKey{table, where.column, where.value}]
 	}
-	var out []row
+	var rows []row
 	for _, r := range d.tables[table] {
-		if m.holds(r) {
-			out = append(out, r)
+		if where.matches(r) {
+			rows = append(rows, r)
 		}
 	}
-	return out
+	return rows
 }
--- a/standin/dbgroup/errors.go
+++ b/standin/dbgroup/errors.go
@@ -1,6 +1,6 @@
 package dbgroup
 
-// SQLSTATE codes that the stand-in answers with.
+// SQLSTATE codes.
 const (
 	codeSyntax             = "42601"
 	codeUndefinedParameter = "42P02"
--- a/standin/dbgroup/execute.go
+++ b/standin/dbgroup/execute.go
@@ -10,7 +10,6 @@
 	"github.com/dotterelswitch/dotterelswitch/core/logpos"
 )
 
-// result is the outcome of one statement.
 type result struct {
 	columns []string
 	rows    [][]string
@@ -19,20 +18,21 @@
 
 // executor runs statements for one connection.
 type executor struct {
-	member   *Member
-	backend  *backendConn
-	txn      *txn
+	member  *Member
+	backend *backendConn
+	txn     *txn
+	// position is sent ahead of the next ReadyForQuery.
 	position logpos.Position
 }
 
-// run executes one statement, in a transaction of its own if none is open.
+// run executes one statement, in an implicit transaction if none is open.
 func (x *executor) run(ctx context.Context, st *statement, params []string) (*result, error) {
-	x.member.faults.gate()
+	x.member.faults.waitWhilePaused()
 	switch {
 	case st.Begin != nil:
 		return x.begin(st.Begin)
 	case st.End != "":
-		return x.end(strings.ToUpper(st.End))
+		return x.endTransaction(strings.ToUpper(st.End))
 	case st.Set != nil:
 		return &result{tag: "SET"}, nil
 	case st.Call != nil:
@@ -46,7 +46,7 @@
 	if implicit {
 		t = &txn{}
 	}
-	res, err := x.statement(ctx, t, st, params)
+	res, err := x.runInSlot(ctx, t, st, params)
 	if err != nil {
 		t.failed = true
 		if implicit {
@@ -68,13 +68,13 @@
 	return &result{tag: "BEGIN"}, nil
 }
 
-func (x *executor) end(word string) (*result, error) {
+func (x *executor) endTransaction(keyword string) (*result, error) {
 	t := x.txn
 	x.txn = nil
 	if t == nil {
-		return &result{tag: word}, nil
+		return &result{tag: keyword}, nil
 	}
-	if t.failed || word == "ROLLBACK" || word == "ABORT" {
+	if t.failed || keyword == "ROLLBACK" || keyword == "ABORT" {
 		x.member.rollback(t)
 		return &result{tag: "ROLLBACK"}, nil
 	}
@@ -89,18 +89,18 @@
 	return err
 }
 
-// statement runs a statement that takes a slot.
-func (x *executor) statement(ctx context.Context, t *txn, st *statement, params []string) (*result, error) {
-	release, err := x.member.takeSlot(ctx)
+// runInSlot runs a statement that needs an execution slot.
+func (x *executor) runInSlot(ctx context.Context, t *txn, st *statement, params []string) (*result, error) {
+	release, err := x.member.acquireSlot(ctx)
 	if err != nil {
 		return nil, err
 	}
 	defer release()
-	cost := x.member.cfg.ReadTime
+	executionTime := x.member.cfg.ReadTime
 	if st.Select == nil {
-		cost = x.member.cfg.WriteTime
+		executionTime = x.member.cfg.WriteTime
 	}
-	if err := x.member.work(ctx, cost); err != nil {
+	if err := x.member.simulateWork(ctx, executionTime); err != nil {
 		return nil, err
 	}
 	if st.Select != nil {
@@ -109,7 +109,7 @@
 	if t.readOnly || !x.member.isPrimary() {
 		return nil, errReadOnly()
 	}
-	return x.change(t, st, params)
+	return x.queueChange(t, st, params)
 }
 
 func (x *executor) selectRows(t *txn, st *selectStmt, params []string) (*result, error) {
@@ -120,8 +120,8 @@
 	if err != nil {
 		return nil, err
 	}
-	rows, at := x.member.query(t, strings.ToLower(st.Table), where)
-	x.position = at
+	rows, position := x.member.query(t, strings.ToLower(st.Table), where)
+	x.position = position
 	x.member.countRead(st.Table)
 	res := &result{columns: st.Columns, tag: "SELECT " + strconv.Itoa(len(rows))}
 	for _, r := range rows {
@@ -134,15 +134,15 @@
 	return res, nil
 }
 
-func (c *condition) bind(params []string) (*match, error) {
+func (c *condition) bind(params []string) (*predicate, error) {
 	if c == nil {
 		return nil, nil
 	}
 	v, err := c.Value.bind(params)
-	return &match{column: c.Column, less: c.Op == "<", value: v}, err
+	return &predicate{column: c.Column, lessThan: c.Op == "<", value: v}, err
 }
 
-func (x *executor) change(t *txn, st *statement, params []string) (*result, error) {
+func (x *executor) queueChange(t *txn, st *statement, params []string) (*result, error) {
 	switch {
 	case st.Insert != nil:
 		return x.insert(t, st.Insert, params)
@@ -185,7 +185,7 @@
 	return &result{tag: "INSERT 0 1"}, nil
 }
 
-// countRead counts a query by the member's role.
+// countRead counts a query by the member's current role.
 func (m *Member) countRead(table string) {
 	if strings.EqualFold(table, LedgerTable) {
 		return
@@ -197,29 +197,29 @@
 	}
 }
 
-// takeSlot waits for one of the member's slots and counts arrivals that found
-// none free, which the system should never cause.
-func (m *Member) takeSlot(ctx context.Context) (func(), error) {
+// acquireSlot waits for an execution slot. Statements that find none free are
+// counted as slot breaches: the proxy must never send more than the slots allow.
+func (m *Member) acquireSlot(ctx context.Context) (func(), error) {
 	select {
 	case m.slots <- struct{}{}:
 	default:
-		m.breaches.Add(1)
+		m.slotBreaches.Add(1)
 		select {
 		case m.slots <- struct{}{}:
 		case <-ctx.Done():
 			return nil, &sqlError{code: codeCancelled, message: "canceling statement due to user request"}
 		}
 	}
-	m.running.Add(1)
+	m.runningStatements.Add(1)
 	return func() {
-		m.running.Add(-1)
+		m.runningStatements.Add(-1)
 		<-m.slots
 	}, nil
 }
 
-// work takes d plus the injected slowness, or ends early when cancelled.
-func (m *Member) work(ctx context.Context, d time.Duration) error {
-	d += time.Duration(m.faults.slow.Load())
+// simulateWork sleeps for d plus the injected delay, or until cancelled.
+func (m *Member) simulateWork(ctx context.Context, d time.Duration) error {
+	d += time.Duration(m.faults.statementDelay.Load())
 	if d <= 0 {
 		return nil
 	}
@@ -227,7 +227,7 @@
 	defer timer.Stop()
 	select {
 	case <-timer.C:
-		m.faults.gate()
+		m.faults.waitWhilePaused()
 		return nil
 	case <-ctx.Done():
 		return &sqlError{code: codeCancelled, message: fmt.Sprintf("canceling statement on %s due to user request", m.cfg.Name)}
--- a/standin/dbgroup/faults.go
+++ b/standin/dbgroup/faults.go
@@ -8,61 +8,61 @@
 
 // faults holds the injected failures of a member.
 type faults struct {
-	mu      sync.Mutex
-	paused  chan struct{}
-	crashed atomic.Bool
-	frozen  atomic.Bool
-	slow    atomic.Int64
+	mu sync.Mutex
+	// resumed is closed unless the member is paused.
+	resumed        chan struct{}
+	crashed        atomic.Bool
+	paused         atomic.Bool
+	statementDelay atomic.Int64
 }
 
 func (f *faults) init() {
-	f.paused = make(chan struct{})
-	close(f.paused)
+	f.resumed = make(chan struct{})
+	close(f.resumed)
 }
 
-func (f *faults) down() bool { return f.crashed.Load() || f.frozen.Load() }
+func (f *faults) unavailable() bool { return f.crashed.Load() || f.paused.Load() }
 
-// gate blocks while the member is paused.
-func (f *faults) gate() {
+func (f *faults) waitWhilePaused() {
 	f.mu.Lock()
-	ch := f.paused
+	ch := f.resumed
 	f.mu.Unlock()
 	<-ch
 }
 
-// Pause stops the member from doing anything, without closing connections.
+// Pause stops all processing in the member; connections stay open.
 func (m *Member) Pause() {
 	m.faults.mu.Lock()
 	defer m.faults.mu.Unlock()
-	if !m.faults.frozen.Swap(true) {
-		m.faults.paused = make(chan struct{})
+	if !m.faults.paused.Swap(true) {
+		m.faults.resumed = make(chan struct{})
 	}
 }
 
-// Resume ends a pause.
+// Resume ends a Pause.
 func (m *Member) Resume() {
 	m.faults.mu.Lock()
 	defer m.faults.mu.Unlock()
-	if m.faults.frozen.Swap(false) {
-		close(m.faults.paused)
+	if m.faults.paused.Swap(false) {
+		close(m.faults.resumed)
 	}
 }
 
-// Slow adds d to the execution time of every statement and probe.
-func (m *Member) Slow(d time.Duration) { m.faults.slow.Store(int64(d)) }
+// SetStatementDelay adds d to the execution time of statements and status probes.
+func (m *Member) SetStatementDelay(d time.Duration) { m.faults.statementDelay.Store(int64(d)) }
 
-// Crash closes every connection and the listener. The log is durable and
-// stays; transactions in progress are gone.
+// Crash closes the listener and every connection. The log is durable; open
+// transactions are lost.
 func (m *Member) Crash() {
 	m.faults.crashed.Store(true)
 	m.server.close()
 }
 
-// Restart brings a crashed member back under its old address. It comes back
-// as a replica that follows no one, with the terms that it has granted.
+// Restart starts a crashed member on its old address, as a replica that follows
+// no primary. Its granted term survives.
 func (m *Member) Restart() error {
 	m.mu.Lock()
-	m.primary, m.follows = false, 0
+	m.primary, m.followedTerm = false, 0
 	m.stopFollowing()
 	m.mu.Unlock()
 	m.faults.crashed.Store(false)
--- a/standin/dbgroup/call.go
+++ b/standin/dbgroup/functions.go
@@ -10,10 +10,10 @@
 	"github.com/dotterelswitch/dotterelswitch/core/logpos"
 )
 
-// statusColumns is the row shape of the group functions.
+// statusColumns are the result columns of the group functions.
 var statusColumns = []string{"member", "claimed", "is_primary", "follows", "last", "applied", "history", "acks", "heard_us", "change", "done"}
 
-// call runs one of the functions of a group member.
+// call runs a SELECT of one of the functions that a member provides.
 func (x *executor) call(ctx context.Context, st *callStmt, params []string) (*result, error) {
 	args := make([]string, len(st.Arguments))
 	for i, a := range st.Arguments {
@@ -24,49 +24,50 @@
 		args[i] = v
 	}
 	m := x.member
-	time.Sleep(time.Duration(m.faults.slow.Load()))
-	switch f := strings.ToLower(st.Function); {
-	case f == "group_status" && len(args) == 0:
+	time.Sleep(time.Duration(m.faults.statementDelay.Load()))
+	switch function := strings.ToLower(st.Function); {
+	case function == "group_status" && len(args) == 0:
 		return statusResult(m.Status(), true), nil
-	case f == "group_await" && len(args) == 2:
-		return x.await(ctx, args)
-	case f == "group_describe" && len(args) == 0:
+	case function == "group_await" && len(args) == 2:
+		return x.awaitStatus(ctx, args)
+	case function == "group_describe" && len(args) == 0:
 		return m.describe(), nil
-	case f == "group_claim" && len(args) == 2:
-		return x.order(args[0], func(t logpos.Term) bool { return m.claim(t, args[1]) })
-	case f == "group_promote" && len(args) == 2:
-		return x.order(args[0], func(t logpos.Term) bool { return m.promote(t, args[1]) })
-	case f == "group_follow" && len(args) == 2:
-		return x.order(args[0], func(t logpos.Term) bool { return m.follow(t, m.group.Member(args[1])) })
-	case f == "pg_try_advisory_lock" && len(args) == 1:
-		return boolResult(m.server.lock(args[0], x.backend)), nil
-	case f == "pg_advisory_unlock" && len(args) == 1:
-		return boolResult(m.server.unlock(args[0], x.backend)), nil
-	case f == "group_terminate" && len(args) == 2:
+	case function == "group_claim" && len(args) == 2:
+		return x.runTermFunction(args[0], func(t logpos.Term) bool { return m.grantTerm(t, args[1]) })
+	case function == "group_promote" && len(args) == 2:
+		return x.runTermFunction(args[0], func(t logpos.Term) bool { return m.promote(t, args[1]) })
+	case function == "group_follow" && len(args) == 2:
+		return x.runTermFunction(args[0], func(t logpos.Term) bool { return m.follow(t, m.group.Member(args[1])) })
+	case function == "pg_try_advisory_lock" && len(args) == 1:
+		return boolResult(m.server.tryAdvisoryLock(args[0], x.backend)), nil
+	case function == "pg_advisory_unlock" && len(args) == 1:
+		return boolResult(m.server.advisoryUnlock(args[0], x.backend)), nil
+	case function == "group_terminate" && len(args) == 2:
 		return boolResult(m.server.terminate(args[0], args[1])), nil
-	case f == "pg_sleep" && len(args) == 1:
+	case function == "pg_sleep" && len(args) == 1:
 		return x.sleep(ctx, args[0])
 	}
 	return nil, &sqlError{code: codeUndefinedFunction, message: "function " + st.Function + " does not exist"}
 }
 
-// await answers with the status once it has changed, or after a while.
-func (x *executor) await(ctx context.Context, args []string) (*result, error) {
-	known, err1 := strconv.ParseUint(args[0], 10, 64)
-	limit, err2 := strconv.Atoi(args[1])
+// awaitStatus returns the status once it has changed or the timeout has passed.
+func (x *executor) awaitStatus(ctx context.Context, args []string) (*result, error) {
+	knownChange, err1 := strconv.ParseUint(args[0], 10, 64)
+	timeoutMS, err2 := strconv.Atoi(args[1])
 	if err1 != nil || err2 != nil {
 		return nil, &sqlError{code: codeInvalidArgument, message: "group_await takes a change number and milliseconds"}
 	}
-	x.member.awaitChange(ctx, known, time.Duration(limit)*time.Millisecond)
+	x.member.awaitChange(ctx, knownChange, time.Duration(timeoutMS)*time.Millisecond)
 	return statusResult(x.member.Status(), true), nil
 }
 
-func (x *executor) order(termText string, run func(logpos.Term) bool) (*result, error) {
+// runTermFunction applies a function of a term and returns the resulting status.
+func (x *executor) runTermFunction(termText string, apply func(logpos.Term) bool) (*result, error) {
 	term, err := strconv.ParseUint(termText, 10, 64)
 	if err != nil {
 		return nil, &sqlError{code: codeInvalidArgument, message: "term " + termText + " is not a number"}
 	}
-	done := run(logpos.Term(term))
+	done := apply(logpos.Term(term))
 	return statusResult(x.member.Status(), done), nil
 }
 
@@ -90,7 +91,7 @@
 	}
 }
 
-// ackText writes acknowledgements as "member=term/offset", joined by commas.
+// ackText formats acknowledgements as "member=term/offset", joined by commas.
 func ackText(acks []group.Ack) string {
 	parts := make([]string, 0, len(acks))
 	for _, a := range acks {
@@ -99,7 +100,8 @@
 	return strings.Join(parts, ",")
 }
 
-// describeColumns is the row shape of group_describe, which is for checkers.
+// describeColumns are the result columns of group_describe, which test checkers
+// call.
 var describeColumns = []string{"service", "term", "is_primary", "replica_reads", "primary_reads"}
 
 func (m *Member) describe() *result {
@@ -114,9 +116,9 @@
 	}
 }
 
-func boolResult(ok bool) *result {
+func boolResult(value bool) *result {
 	text := "f"
-	if ok {
+	if value {
 		text = "t"
 	}
 	return &result{columns: []string{"result"}, rows: [][]string{{text}}, tag: "SELECT 1"}
@@ -127,12 +129,12 @@
 	if err != nil {
 		return nil, &sqlError{code: codeInvalidArgument, message: "pg_sleep: " + seconds + " is not a number"}
 	}
-	release, err := x.member.takeSlot(ctx)
+	release, err := x.member.acquireSlot(ctx)
 	if err != nil {
 		return nil, err
 	}
 	defer release()
-	if err := x.member.work(ctx, time.Duration(s*float64(time.Second))); err != nil {
+	if err := x.member.simulateWork(ctx, time.Duration(s*float64(time.Second))); err != nil {
 		return nil, err
 	}
 	return &result{columns: []string{"pg_sleep"}, rows: [][]string{{""}}, tag: "SELECT 1"}, nil
--- a/standin/dbgroup/group.go
+++ b/standin/dbgroup/group.go
@@ -6,20 +6,22 @@
 	"github.com/dotterelswitch/dotterelswitch/core/logpos"
 )
 
-// Links tells the latency between two zones and whether traffic passes.
+// Links provides the one-way latency and the reachability between two member
+// addresses.
 type Links interface {
 	Delay(a, b string) time.Duration
 	Reachable(a, b string) bool
 }
 
-// Group is a database group whose first member starts as primary of term 1.
+// Group is a database group whose first member starts as the primary of term 1.
 type Group struct {
 	name    string
 	links   Links
 	members []*Member
 }
 
-// NewGroup starts a group with a listener on loopback for each member.
+// NewGroup starts a group whose members listen on loopback addresses. A nil
+// links means no latency and full reachability.
 func NewGroup(name string, configs []MemberConfig, links Links) (*Group, error) {
 	g := &Group{name: name, links: links}
 	for _, cfg := range configs {
@@ -31,25 +33,25 @@
 		}
 		g.members = append(g.members, m)
 	}
-	const first logpos.Term = 1
+	const initialTerm logpos.Term = 1
 	for i, m := range g.members {
-		m.claim(first, "initial")
+		m.grantTerm(initialTerm, "initial")
 		if i == 0 {
-			m.promote(first, "initial")
+			m.promote(initialTerm, "initial")
 		} else {
-			m.follow(first, g.members[0])
+			m.follow(initialTerm, g.members[0])
 		}
 	}
 	return g, nil
 }
 
-// Name returns the name of the group, which is its service.
+// Name returns the group's name, which is also its service name.
 func (g *Group) Name() string { return g.name }
 
-// Members returns the members, in order of configuration.
+// Members returns the members in configuration order.
 func (g *Group) Members() []*Member { return g.members }
 
-// Member returns a member by name, or nil.
+// Member returns the named member, or nil.
 func (g *Group) Member(name string) *Member {
 	for _, m := range g.members {
 		if m.cfg.Name == name {
@@ -59,21 +61,21 @@
 	return nil
 }
 
-// Primary returns the member that acts as primary in the newest term, or nil.
+// Primary returns the available primary of the newest term, or nil.
 func (g *Group) Primary() *Member {
-	var best *Member
-	var bestTerm logpos.Term
+	var primary *Member
+	var newestTerm logpos.Term
 	for _, m := range g.members {
 		st := m.Status()
-		if st.Primary && !m.faults.down() && st.GrantedTerm > bestTerm {
-			best, bestTerm = m, st.GrantedTerm
+		if st.Primary && !m.faults.unavailable() && st.GrantedTerm > newestTerm {
+			primary, newestTerm = m, st.GrantedTerm
 		}
 	}
-	return best
+	return primary
 }
 
-// link returns the latency from a to b and whether they are connected.
-func (g *Group) link(a, b *Member) (time.Duration, bool) {
+// linkState returns the latency from a to b and whether b is reachable.
+func (g *Group) linkState(a, b *Member) (time.Duration, bool) {
 	if g.links == nil {
 		return 0, true
 	}
--- a/standin/dbgroup/log.go
+++ b/standin/dbgroup/log.go
@@ -8,9 +8,9 @@
 
 // entry is one committed transaction in a member's log.
 type entry struct {
-	position logpos.Position
-	ops      []op
-	at       time.Time
+	position    logpos.Position
+	ops         []op
+	committedAt time.Time
 }
 
 // entryLog is a member's durable log. Entry i has offset i+1.
@@ -26,22 +26,21 @@
 	return l.entries[len(l.entries)-1].position
 }
 
-// append adds an entry written in term.
 func (l *entryLog) append(term logpos.Term, ops []op, at time.Time) entry {
 	if l.history.LastTerm() != term {
 		l.history = append(l.history.Clone(), logpos.Fork{Term: term, Start: logpos.Offset(len(l.entries))})
 	}
 	e := entry{
-		position: logpos.Position{Term: term, Offset: logpos.Offset(len(l.entries) + 1)},
-		ops:      ops,
-		at:       at,
+		position:    logpos.Position{Term: term, Offset: logpos.Offset(len(l.entries) + 1)},
+		ops:         ops,
+		committedAt: at,
 	}
 	l.entries = append(l.entries, e)
 	return e
 }
 
-// commonPrefix returns how many entries two logs share.
-func (l *entryLog) commonPrefix(other []entry) int {
+// commonPrefixLen returns the length of the prefix that two logs share.
+func (l *entryLog) commonPrefixLen(other []entry) int {
 	n := min(len(l.entries), len(other))
 	for n > 0 && l.entries[n-1].position != other[n-1].position {
 		n--
@@ -49,7 +48,7 @@
 	return n
 }
 
-// truncate drops the entries past n.
+// truncate drops the entries after the first n.
 func (l *entryLog) truncate(n int) {
 	l.entries = l.entries[:n:n]
 	last := l.last()
--- a/standin/dbgroup/member.go
+++ b/standin/dbgroup/member.go
@@ -1,6 +1,6 @@
-// Package dbgroup is a stand-in for a replicated database group: members that
-// speak the PostgreSQL protocol, replicate asynchronously and expose terms and
-// log positions. It holds a table store with just the SQL that the tests need.
+// Package dbgroup simulates a replicated database group in process. Its members
+// speak the PostgreSQL protocol, replicate asynchronously, expose terms and log
+// positions, and execute the subset of SQL that the tests use.
 package dbgroup
 
 import (
@@ -19,58 +19,63 @@
 type MemberConfig struct {
 	Name string
 	Zone string
-	// Slots is how many statements execute at once; more wait inside.
+	// Slots is the number of statements executed concurrently; others queue.
 	Slots int
-	// Connections is the connection limit.
+	// Connections is the maximum number of open connections.
 	Connections int
-	// ConnectCost is how long accepting a connection takes.
+	// ConnectCost is the time that accepting a connection takes.
 	ConnectCost time.Duration
-	// ReadTime and WriteTime are the execution times of statements.
+	// ReadTime and WriteTime are the execution times of queries and changes.
 	ReadTime, WriteTime time.Duration
 }
 
-// Member is one member of a group.
 type Member struct {
 	cfg   MemberConfig
 	group *Group
 
-	// mu guards the fields below. The locks of two members are never held
-	// together.
-	mu       sync.Mutex
-	grown    *sync.Cond
-	log      entryLog
-	applied  int
-	db       *database
-	claimed  logpos.Term
-	claimant string
-	primary  bool
-	follows  logpos.Term
-	heardAt  time.Time
-	pending  map[indexKey]*txn
-	acks     map[string]logpos.Position
-	change   uint64
-	changed  chan struct{}
-	lag      time.Duration
-	stalled  bool
-	stopFeed chan struct{}
-
-	faults   faults
-	server   *server
-	slots    chan struct{}
-	running  atomic.Int64
-	breaches atomic.Int64
-	// replicaReads and primaryReads count the queries on callers' tables.
+	// mu guards the fields up to stopReplication. To avoid deadlocks, no
+	// goroutine holds the locks of two members.
+	mu                   sync.Mutex
+	pendingUniqueChanged *sync.Cond
+	log                  entryLog
+	// applied is the number of log entries applied to db.
+	applied     int
+	db          *database
+	grantedTerm logpos.Term
+	claimant    string
+	primary     bool
+	// followedTerm is the term whose primary the member replicates from, or 0.
+	followedTerm       logpos.Term
+	lastPrimaryContact time.Time
+	// pendingUnique maps uncommitted unique values to their transactions.
+	pendingUnique map[indexKey]*txn
+	// acks holds, on a primary, the position acknowledged by each replica.
+	acks map[string]logpos.Position
+	// changeNumber counts status changes; changed is closed at the next one.
+	changeNumber       uint64
+	changed            chan struct{}
+	applyDelay         time.Duration
+	replicationStalled bool
+	stopReplication    chan struct{}
+
+	faults            faults
+	server            *server
+	slots             chan struct{}
+	runningStatements atomic.Int64
+	slotBreaches      atomic.Int64
+	// replicaReads and primaryReads count queries on tables other than the
+	// ledger, by the role of the member.
 	replicaReads, primaryReads atomic.Int64
 }
 
 func newMember(cfg MemberConfig, g *Group) *Member {
 	m := &Member{
 		cfg: cfg, group: g, db: newDatabase(),
-		pending: make(map[indexKey]*txn),
-		slots:   make(chan struct{}, cfg.Slots),
-		changed: make(chan struct{}),
+		pendingUnique: make(map[indexKey]*txn),
+		slots:         make(chan struct{}, cfg.Slots),
+		changed:       make(chan struct{}),
 	}
-	m.grown = sync.NewCond(&m.mu)
+	m.pendingUniqueChanged = sync.NewCond(&m.mu)
 	m.faults.init()
 	return m
 }
@@ -81,10 +86,11 @@
 // Zone returns the member's availability zone.
 func (m *Member) Zone() string { return m.cfg.Zone }
 
-// Breaches returns how often more statements arrived than there are slots.
-func (m *Member) Breaches() int64 { return m.breaches.Load() }
+// SlotBreaches returns the number of statements that arrived while all slots
+// were in use.
+func (m *Member) SlotBreaches() int64 { return m.slotBreaches.Load() }
 
-// Status returns what a probe would.
+// Status returns the status that group_status reports.
 func (m *Member) Status() group.Status {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -94,11 +100,11 @@
 // status needs mu held.
 func (m *Member) status() group.Status {
 	st := group.Status{
-		Member: m.cfg.Name, GrantedTerm: m.claimed, Primary: m.primary, Follows: m.follows,
-		Change: m.change, Last: m.log.last(), Applied: m.appliedPosition(), History: m.log.history.Clone(),
+		Member: m.cfg.Name, GrantedTerm: m.grantedTerm, Primary: m.primary, Follows: m.followedTerm,
+		Change: m.changeNumber, Last: m.log.last(), Applied: m.appliedPosition(), History: m.log.history.Clone(),
 	}
 	if !m.primary {
-		st.SincePrimaryContact = time.Since(m.heardAt)
+		st.SincePrimaryContact = time.Since(m.lastPrimaryContact)
 		return st
 	}
 	for _, name := range slices.Sorted(maps.Keys(m.acks)) {
@@ -114,46 +120,46 @@
 	return m.log.entries[m.applied-1].position
 }
 
-// claim grants a term to a claimant, once. A repeated claim by the same
-// claimant is granted again.
-func (m *Member) claim(term logpos.Term, claimant string) bool {
+// grantTerm grants each term to at most one claimant. A repeated claim by the
+// same claimant succeeds.
+func (m *Member) grantTerm(term logpos.Term, claimant string) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if term == m.claimed && claimant == m.claimant {
+	if term == m.grantedTerm && claimant == m.claimant {
 		return true
 	}
-	if term <= m.claimed {
+	if term <= m.grantedTerm {
 		return false
 	}
 	m.stepDown(term, claimant)
 	return true
 }
 
-// stepDown moves the member to a newer term; it then follows no one.
+// stepDown moves the member to a newer term, in which it follows no primary.
 func (m *Member) stepDown(term logpos.Term, claimant string) {
-	m.claimed, m.claimant = term, claimant
-	m.primary, m.follows = false, 0
+	m.grantedTerm, m.claimant = term, claimant
+	m.primary, m.followedTerm = false, 0
 	m.stopFollowing()
-	m.bump()
-	m.grown.Broadcast()
+	m.notifyChange()
+	m.pendingUniqueChanged.Broadcast()
 }
 
-// bump wakes the calls that wait for a change; it needs mu held.
-func (m *Member) bump() {
-	m.change++
+// notifyChange wakes the callers of awaitChange. It needs mu held.
+func (m *Member) notifyChange() {
+	m.changeNumber++
 	close(m.changed)
 	m.changed = make(chan struct{})
 }
 
-// awaitChange waits until the member's change number is not the given one.
-func (m *Member) awaitChange(ctx context.Context, known uint64, limit time.Duration) {
+// awaitChange waits until the change number differs from knownChange.
+func (m *Member) awaitChange(ctx context.Context, knownChange uint64, timeout time.Duration) {
 	m.mu.Lock()
-	current, changed := m.change, m.changed
+	current, changed := m.changeNumber, m.changed
 	m.mu.Unlock()
-	if current != known {
+	if current != knownChange {
 		return
 	}
-	timer := time.NewTimer(limit)
+	timer := time.NewTimer(timeout)
 	defer timer.Stop()
 	select {
 	case <-changed:
@@ -162,11 +168,11 @@
 	}
 }
 
-// promote makes the member the primary of a term it has granted.
+// promote makes the member the primary of the term that it granted to claimant.
 func (m *Member) promote(term logpos.Term, claimant string) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if term != m.claimed || claimant != m.claimant || m.follows != 0 {
+	if term != m.grantedTerm || claimant != m.claimant || m.followedTerm != 0 {
 		return false
 	}
 	if m.primary {
@@ -179,12 +185,12 @@
 	return true
 }
 
-// commitEntry appends and applies a transaction. It needs mu held and the
-// member to be the primary.
+// commitEntry appends a transaction to the log and applies it. It needs mu held
+// on the primary.
 func (m *Member) commitEntry(ops []op) logpos.Position {
-	e := m.log.append(m.claimed, ops, time.Now())
+	e := m.log.append(m.grantedTerm, ops, time.Now())
 	m.applyTo(len(m.log.entries))
-	m.grown.Broadcast()
+	m.pendingUniqueChanged.Broadcast()
 	return e.position
 }
 
@@ -196,7 +202,7 @@
 	}
 }
 
-// rebuild replays the log up to n after entries were dropped.
+// rebuild recreates the database from the first n log entries.
 func (m *Member) rebuild(n int) {
 	m.db = newDatabase()
 	m.applied = 0
--- a/standin/dbgroup/query.go
+++ b/standin/dbgroup/messages.go
@@ -6,9 +6,9 @@
 	"github.com/jackc/pgx/v5/pgproto3"
 )
 
-// simpleQuery runs every statement of a text until one fails.
+// simpleQuery runs the statements of a query text until one fails.
 func (b *backendConn) simpleQuery(sql string) {
-	defer b.readyForQuery()
+	defer b.sendReadyForQuery()
 	statements, err := parseScript(sql)
 	if err != nil {
 		b.failTxn()
@@ -20,7 +20,7 @@
 	}
 	for _, st := range statements {
 		ctx, cancel := b.statementContext()
-		res, err := b.exec.run(ctx, st, nil)
+		res, err := b.executor.run(ctx, st, nil)
 		cancel()
 		if err != nil {
 			b.sendError(err)
@@ -31,8 +31,8 @@
 }
 
 func (b *backendConn) failTxn() {
-	if b.exec.txn != nil {
-		b.exec.txn.failed = true
+	if b.executor.txn != nil {
+		b.executor.txn.failed = true
 	}
 }
 
@@ -69,15 +69,15 @@
 	return nil
 }
 
-// countParams returns the highest parameter number in a text.
+// countParams returns the highest single-digit parameter number in a text.
 func countParams(sql string) int {
-	high := 0
+	highest := 0
 	for i := 0; i+1 < len(sql); i++ {
 		if sql[i] == '$' && sql[i+1] >= '1' && sql[i+1] <= '9' {
-			high = max(high, int(sql[i+1]-'0'))
+			highest = max(highest, int(sql[i+1]-'0'))
 		}
 	}
-	return high
+	return highest
 }
 
 func (b *backendConn) bind(msg *pgproto3.Bind) error {
@@ -107,11 +107,11 @@
 		}
 		b.backend.Send(d)
 	} else {
-		po, found := b.portals[msg.Name]
+		bound, found := b.portals[msg.Name]
 		if !found {
 			return &sqlError{code: codeUndefinedStatement, message: "portal " + msg.Name + " does not exist"}
 		}
-		p = po.statement
+		p = bound.statement
 	}
 	if columns := p.columns(); columns != nil {
 		b.backend.Send(rowDescription(columns))
@@ -121,7 +121,7 @@
 	return nil
 }
 
-// columns returns the row shape of a prepared statement, nil for none.
+// columns returns the result columns of a prepared statement, or nil.
 func (p *prepared) columns() []string {
 	if len(p.statements) != 1 {
 		return nil
@@ -138,17 +138,17 @@
 }
 
 func (b *backendConn) executePortal(msg *pgproto3.Execute) error {
-	po, found := b.portals[msg.Portal]
+	bound, found := b.portals[msg.Portal]
 	if !found {
 		return &sqlError{code: codeUndefinedStatement, message: "portal " + msg.Portal + " does not exist"}
 	}
-	if len(po.statement.statements) == 0 {
+	if len(bound.statement.statements) == 0 {
 		b.backend.Send(&pgproto3.EmptyQueryResponse{})
 		return nil
 	}
 	ctx, cancel := b.statementContext()
 	defer cancel()
-	res, err := b.exec.run(ctx, po.statement.statements[0], po.params)
+	res, err := b.executor.run(ctx, bound.statement.statements[0], bound.params)
 	if err != nil {
 		return err
 	}
--- a/standin/dbgroup/replication.go
+++ b/standin/dbgroup/replication.go
@@ -7,46 +7,45 @@
 )
 
 const (
-	// feedInterval is how often a follower asks its primary for entries. It
-	// stands for the granularity of a stream.
-	feedInterval = time.Millisecond
-	// contactInterval is the interval of replication heartbeats.
-	contactInterval = 25 * time.Millisecond
+	// pollInterval is how often a replica polls its primary's log; it
+	// approximates a replication stream.
+	pollInterval      = time.Millisecond
+	heartbeatInterval = 25 * time.Millisecond
 )
 
-// follow makes the member replicate from a primary in a term.
+// follow makes the member replicate from the primary of a term.
 func (m *Member) follow(term logpos.Term, primary *Member) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if term < m.claimed || primary == nil || primary == m {
+	if term < m.grantedTerm || primary == nil || primary == m {
 		return false
 	}
-	if m.follows == term || (m.primary && m.claimed == term) {
-		return m.follows == term
+	if m.followedTerm == term || (m.primary && m.grantedTerm == term) {
+		return m.followedTerm == term
 	}
-	if term > m.claimed {
+	if term > m.grantedTerm {
 		m.claimant = ""
 	}
 	m.stopFollowing()
-	m.claimed, m.primary, m.follows = term, false, term
-	m.bump()
-	m.stopFeed = make(chan struct{})
-	go m.feed(term, primary, m.stopFeed)
+	m.grantedTerm, m.primary, m.followedTerm = term, false, term
+	m.notifyChange()
+	m.stopReplication = make(chan struct{})
+	go m.replicate(term, primary, m.stopReplication)
 	return true
 }
 
 // stopFollowing needs mu held.
 func (m *Member) stopFollowing() {
-	if m.stopFeed != nil {
-		close(m.stopFeed)
-		m.stopFeed = nil
+	if m.stopReplication != nil {
+		close(m.stopReplication)
+		m.stopReplication = nil
 	}
 }
 
-// feed copies entries from the primary until the member stops following.
-func (m *Member) feed(term logpos.Term, primary *Member, stop chan struct{}) {
-	tick := time.NewTicker(feedInterval)
-	defer tick.Stop()
+// replicate copies log entries from the primary until stop is closed.
+func (m *Member) replicate(term logpos.Term, primary *Member, stop chan struct{}) {
+	ticker := time.NewTicker(pollInterval)
+	defer ticker.Stop()
 	synced := false
 	lastContact := time.Time{}
 	var acks ackQueue
@@ -54,10 +53,10 @@
 		select {
 		case <-stop:
 			return
-		case <-tick.C:
+		case <-ticker.C:
 		}
-		delay, linked := m.group.link(primary, m)
-		if !linked || m.faults.down() || primary.faults.down() {
+		delay, reachable := m.group.linkState(primary, m)
+		if !reachable || m.faults.unavailable() || primary.faults.unavailable() {
 			synced = false
 			acks.clear()
 			m.applyDue(term)
@@ -70,89 +69,88 @@
 		m.receive(term, primary, delay)
 		m.applyDue(term)
 		acks.push(m.Status().Last, time.Now().Add(delay))
-		if p, due := acks.pop(time.Now()); due {
-			primary.acknowledged(term, m.cfg.Name, p)
+		if p, arrived := acks.pop(time.Now()); arrived {
+			primary.recordAck(term, m.cfg.Name, p)
 		}
-		if time.Since(lastContact) >= contactInterval && primary.reigns(term) {
+		if time.Since(lastContact) >= heartbeatInterval && primary.isPrimaryIn(term) {
 			lastContact = time.Now()
-			m.contact(term)
+			m.recordHeartbeat(term)
 		}
 	}
 }
 
-// acknowledged takes a replica's acknowledgement.
-func (m *Member) acknowledged(term logpos.Term, replica string, p logpos.Position) {
+func (m *Member) recordAck(term logpos.Term, replica string, p logpos.Position) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if m.primary && m.claimed == term {
+	if m.primary && m.grantedTerm == term {
 		m.acks[replica] = p
-		m.bump()
+		m.notifyChange()
 	}
 }
 
-// reigns reports whether the member is the primary of a term.
-func (m *Member) reigns(term logpos.Term) bool {
+// isPrimaryIn reports whether the member is the primary of a term.
+func (m *Member) isPrimaryIn(term logpos.Term) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.primary && m.claimed == term
+	return m.primary && m.grantedTerm == term
 }
 
-func (m *Member) contact(term logpos.Term) {
+func (m *Member) recordHeartbeat(term logpos.Term) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if m.follows == term {
-		m.heardAt = time.Now()
+	if m.followedTerm == term {
+		m.lastPrimaryContact = time.Now()
 	}
 }
 
-// resync drops the entries that the primary does not have.
+// resync truncates the log to the prefix shared with the primary.
 func (m *Member) resync(term logpos.Term, primary *Member) bool {
-	if !primary.reigns(term) {
+	if !primary.isPrimaryIn(term) {
 		return false
 	}
-	theirs := primary.snapshot()
+	primaryEntries := primary.logEntries()
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if m.follows != term {
+	if m.followedTerm != term {
 		return false
 	}
-	common := m.log.commonPrefix(theirs)
-	if common < len(m.log.entries) {
-		m.log.truncate(common)
-		m.rebuild(min(m.applied, common))
+	shared := m.log.commonPrefixLen(primaryEntries)
+	if shared < len(m.log.entries) {
+		m.log.truncate(shared)
+		m.rebuild(min(m.applied, shared))
 	}
 	return true
 }
 
-// snapshot returns the entries of the log; they are never changed in place.
-func (m *Member) snapshot() []entry {
+// logEntries returns the entries of the log, which are never modified in place.
+func (m *Member) logEntries() []entry {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.log.entries
 }
 
-// receive appends the entries whose travel time has passed.
+// receive appends the primary's entries that are older than the link delay.
 func (m *Member) receive(term logpos.Term, primary *Member, delay time.Duration) {
-	if !primary.reigns(term) {
+	if !primary.isPrimaryIn(term) {
 		return
 	}
-	theirs, history := primary.logView()
+	primaryEntries, primaryHistory := primary.logAndHistory()
 	now := time.Now()
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if m.follows != term || m.stalled {
+	if m.followedTerm != term || m.replicationStalled {
 		return
 	}
-	for i := len(m.log.entries); i < len(theirs); i++ {
-		if theirs[i].at.Add(delay).After(now) {
+	for i := len(m.log.entries); i < len(primaryEntries); i++ {
+		if primaryEntries[i].committedAt.Add(delay).After(now) {
 			break
 		}
-		m.log.entries = append(m.log.entries, theirs[i])
+		m.log.entries = append(m.log.entries, primaryEntries[i])
 	}
-	m.log.history = historyUpTo(history, m.log.last().Term)
+	m.log.history = historyUpTo(primaryHistory, m.log.last().Term)
 }
 
-func (m *Member) logView() ([]entry, logpos.History) {
+func (m *Member) logAndHistory() ([]entry, logpos.History) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.log.entries, m.log.history
@@ -167,31 +165,31 @@
 	return h
 }
 
-// applyDue applies the received entries that are older than the set lag.
+// applyDue applies the received entries that are older than the apply delay.
 func (m *Member) applyDue(term logpos.Term) {
 	now := time.Now()
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if m.follows != term {
+	if m.followedTerm != term {
 		return
 	}
 	n := m.applied
-	for n < len(m.log.entries) && !m.log.entries[n].at.Add(m.lag).After(now) {
+	for n < len(m.log.entries) && !m.log.entries[n].committedAt.Add(m.applyDelay).After(now) {
 		n++
 	}
 	m.applyTo(n)
 }
 
-// SetLag delays the application of received entries by d.
-func (m *Member) SetLag(d time.Duration) {
+// SetApplyDelay delays the application of received entries by d.
+func (m *Member) SetApplyDelay(d time.Duration) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.lag = d
+	m.applyDelay = d
 }
 
-// Stall stops or resumes the receipt of entries.
-func (m *Member) Stall(on bool) {
+// SetReplicationStalled stops or resumes the receipt of log entries.
+func (m *Member) SetReplicationStalled(on bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.stalled = on
+	m.replicationStalled = on
 }
--- a/standin/dbgroup/server.go
+++ b/standin/dbgroup/server.go
@@ -10,33 +10,32 @@
 	"github.com/jackc/pgx/v5/pgproto3"
 )
 
-// server accepts connections for one member.
 type server struct {
 	member *Member
 	addr   string
 
-	mu       sync.Mutex
-	listener net.Listener
-	conns    map[*backendConn]bool
-	locks    map[string]*backendConn
-	nextPID  uint32
-	peak     int
-	refused  int
+	mu            sync.Mutex
+	listener      net.Listener
+	conns         map[*backendConn]bool
+	advisoryLocks map[string]*backendConn
+	lastPID       uint32
+	peakConns     int
+	refusedConns  int
 }
 
 func newServer(m *Member) *server {
-	return &server{member: m, conns: make(map[*backendConn]bool), locks: make(map[string]*backendConn)}
+	return &server{member: m, conns: make(map[*backendConn]bool), advisoryLocks: make(map[string]*backendConn)}
 }
 
-// Addr returns the address of the member's listener.
+// Addr returns the address that the member listens on.
 func (m *Member) Addr() string { return m.server.addr }
 
-// PeakConnections returns the most connections that were open at once, and
-// how many were refused over the limit.
+// PeakConnections returns the highest number of concurrent connections and the
+// number of refused ones.
 func (m *Member) PeakConnections() (peak, refused int) {
 	m.server.mu.Lock()
 	defer m.server.mu.Unlock()
-	return m.server.peak, m.server.refused
+	return m.server.peakConns, m.server.refusedConns
 }
 
 func (s *server) listen(addr string) error {
@@ -61,7 +60,7 @@
 	}
 }
 
-// close drops the listener and all connections at once.
+// close closes the listener and resets all connections.
 func (s *server) close() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -75,86 +74,88 @@
 
 func (s *server) serve(c net.Conn) {
 	defer func() { _ = c.Close() }()
-	s.member.faults.gate()
+	s.member.faults.waitWhilePaused()
 	b := newBackendConn(s.member, c)
 	if !b.startup() {
 		return
 	}
 	if !s.admit(b) {
-		b.fatal(codeTooManyConnections, "sorry, too many clients already")
+		b.sendFatal(codeTooManyConnections, "sorry, too many clients already")
 		return
 	}
 	defer s.remove(b)
 	time.Sleep(s.member.cfg.ConnectCost)
-	b.ready()
-	b.loop()
+	b.completeStartup()
+	b.serveMessages()
 }
 
-// admit registers a connection unless the limit is reached.
+// admit registers a connection unless the limit is reached or the member has
+// crashed.
 func (s *server) admit(b *backendConn) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if len(s.conns) >= s.member.cfg.Connections || s.member.faults.crashed.Load() {
-		s.refused++
+		s.refusedConns++
 		return false
 	}
-	s.nextPID++
-	b.pid = s.nextPID
+	s.lastPID++
+	b.pid = s.lastPID
 	s.conns[b] = true
-	s.peak = max(s.peak, len(s.conns))
+	s.peakConns = max(s.peakConns, len(s.conns))
 	return true
 }
 
 func (s *server) remove(b *backendConn) {
-	b.end()
+	b.rollbackOpen()
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	delete(s.conns, b)
-	for k, holder := range s.locks {
+	for k, holder := range s.advisoryLocks {
 		if holder == b {
-			delete(s.locks, k)
+			delete(s.advisoryLocks, k)
 		}
 	}
 }
 
-// lock takes a session-level advisory lock.
-func (s *server) lock(key string, b *backendConn) bool {
+// tryAdvisoryLock takes a session-level advisory lock if no other session holds
+// it.
+func (s *server) tryAdvisoryLock(key string, b *backendConn) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	holder, held := s.locks[key]
+	holder, held := s.advisoryLocks[key]
 	if held {
 		return holder == b
 	}
-	s.locks[key] = b
+	s.advisoryLocks[key] = b
 	return true
 }
 
-func (s *server) unlock(key string, b *backendConn) bool {
+func (s *server) advisoryUnlock(key string, b *backendConn) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.locks[key] != b {
+	if s.advisoryLocks[key] != b {
 		return false
 	}
-	delete(s.locks, key)
+	delete(s.advisoryLocks, key)
 	return true
 }
 
-// terminate closes the connections whose application name begins with prefix
-// and is not keep.
-func (s *server) terminate(prefix, keep string) bool {
+// terminate resets the connections whose application name begins with
+// applicationPrefix and is not except.
+func (s *server) terminate(applicationPrefix, except string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	found := false
+	closed := false
 	for c := range s.conns {
-		if c.application != keep && strings.HasPrefix(c.application, prefix) {
+		if c.applicationName != except && strings.HasPrefix(c.applicationName, applicationPrefix) {
 			c.abort()
-			found = true
+			closed = true
 		}
 	}
-	return found
+	return closed
 }
 
-// cancel stops the statement that a connection executes.
+// cancel stops the running statement of the connection that req identifies.
 func (s *server) cancel(req *pgproto3.CancelRequest) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -165,7 +166,7 @@
 	}
 }
 
-// statementContext returns a context that cancel requests end.
+// statementContext returns a context that a cancel request ends.
 func (b *backendConn) statementContext() (context.Context, context.CancelFunc) {
 	ctx, cancel := context.WithCancel(context.Background())
 	b.mu.Lock()
--- a/standin/dbgroup/sql.go
+++ b/standin/dbgroup/sql.go
@@ -7,12 +7,12 @@
 	"github.com/alecthomas/participle/v2/lexer"
 )
 
-// script is the text of one simple query.
+// script is the text of a simple query, which may hold several statements.
 type script struct {
 	Statements []*statement `parser:"( ';' | @@ )*"`
 }
 
-// statement is the small part of SQL that the tests need.
+// statement is the supported subset of SQL.
 type statement struct {
 	Begin  *beginStmt  `parser:"  @@"`
 	End    string      `parser:"| @( 'COMMIT' | 'END' | 'ROLLBACK' | 'ABORT' )"`
@@ -94,7 +94,6 @@
 	participle.UseLookahead(3),
 )
 
-// parseScript reads the statements of a query text.
 func parseScript(sql string) ([]*statement, error) {
 	sc, err := sqlParser.ParseString("", sql)
 	if err != nil {
@@ -103,7 +102,7 @@
 	return sc.Statements, nil
 }
 
-// bind returns the text of a value given the statement's parameters.
+// bind returns a value's text, with parameters substituted.
 func (v value) bind(params []string) (string, error) {
 	switch {
 	case v.Text != nil:
--- a/standin/dbgroup/txn.go
+++ b/standin/dbgroup/txn.go
@@ -6,14 +6,15 @@
 
 // txn is a transaction in progress on one member.
 type txn struct {
-	ops      []op
-	readOnly bool
-	failed   bool
-	held     []indexKey
+	ops        []op
+	readOnly   bool
+	failed     bool
+	uniqueKeys []indexKey
 }
 
-// insert checks the unique column and queues the row. A row with the same
-// unique value in another open transaction makes it wait for that one's end.
+// insert checks the unique column and queues the row. While another open
+// transaction has inserted the same unique value, it waits for that transaction
+// to end.
 func (m *Member) insert(t *txn, table string, r row) error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -23,33 +24,34 @@
 		return nil
 	}
 	k := indexKey{table, column, r[column]}
-	for m.pending[k] != nil && m.pending[k] != t && !m.faults.crashed.Load() {
-		m.grown.Wait()
+	for m.pendingUnique[k] != nil && m.pendingUnique[k] != t && !m.faults.crashed.Load() {
+		m.pendingUniqueChanged.Wait()
 	}
-	if len(m.db.index[k]) > 0 || m.pending[k] == t {
+	if len(m.db.index[k]) > 0 || m.pendingUnique[k] == t {
 		return &sqlError{code: codeUniqueViolation, message: "duplicate key value violates unique constraint on " + table}
 	}
-	m.pending[k] = t
-	t.held = append(t.held, k)
+	m.pendingUnique[k] = t
+	t.uniqueKeys = append(t.uniqueKeys, k)
 	t.ops = append(t.ops, op{kind: opInsert, table: table, row: r})
 	return nil
 }
 
-// release needs mu held; it ends the transaction's claims on unique values.
-func (m *Member) release(t *txn) {
-	for _, k := range t.held {
-		delete(m.pending, k)
+// releaseUnique releases the transaction's uncommitted unique values. It needs
+// mu held.
+func (m *Member) releaseUnique(t *txn) {
+	for _, k := range t.uniqueKeys {
+		delete(m.pendingUnique, k)
 	}
-	t.held = nil
-	m.grown.Broadcast()
+	t.uniqueKeys = nil
+	m.pendingUniqueChanged.Broadcast()
 }
 
-// commit makes the transaction durable on this member. A member that is no
-// longer primary refuses it, and nothing of it remains.
+// commit writes the transaction to the member's log. If the member is no longer
+// the primary, the transaction is rolled back.
 func (m *Member) commit(t *txn) (logpos.Position, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	defer m.release(t)
+	defer m.releaseUnique(t)
 	if len(t.ops) == 0 {
 		return m.appliedPosition(), nil
 	}
@@ -62,17 +64,17 @@
 func (m *Member) rollback(t *txn) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.release(t)
+	m.releaseUnique(t)
 }
 
-// query returns matching rows and the position that they were read at. The
-// transaction's own inserts are visible to it.
-func (m *Member) query(t *txn, table string, where *match) ([]row, logpos.Position) {
+// query returns matching rows, including the transaction's own inserts, and the
+// log position of the snapshot.
+func (m *Member) query(t *txn, table string, where *predicate) ([]row, logpos.Position) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	rows := append([]row(nil), m.db.find(table, where)...)
 	for _, o := range t.ops {
-		if o.kind == opInsert && o.table == table && (where == nil || where.holds(o.row)) {
+		if o.kind == opInsert && o.table == table && (where == nil || where.matches(o.row)) {
 			rows = append(rows, o.row)
 		}
 	}
--- a/standin/faultproxy/proxy.go
+++ b/standin/faultproxy/proxy.go
@@ -1,6 +1,6 @@
-// Package faultproxy passes TCP connections on to a target and harms them as a
-// network does: it delays them, holds them up one way or both, resets them, or
-// lets them go silent for good.
+// Package faultproxy is a TCP proxy that injects network faults: it delays data,
+// holds it back in one or both directions, resets connections, or drops all
+// their further data.
 package faultproxy
 
 import (
@@ -9,17 +9,18 @@
 	"time"
 )
 
-// Fault is what a proxy does to its connections until it is told otherwise.
+// Fault is the fault applied to all connections of a proxy until the next
+// SetFault.
 type Fault struct {
-	// Delay is added to each piece of data, either way.
+	// Delay is added to each forwarded chunk, in both directions.
 	Delay time.Duration
-	// HoldToTarget and HoldToClient keep data back, one way each, until the
-	// fault ends, as a partition does.
+	// HoldToTarget and HoldToClient hold back the data of one direction until
+	// the fault ends, as a partition does.
 	HoldToTarget, HoldToClient bool
 }
 
-// Proxy is one listening address in front of one target. It is safe for
-// concurrent use.
+// Proxy forwards connections from one listening address to one target. It is
+// safe for concurrent use.
 type Proxy struct {
 	target   string
 	listener net.Listener
@@ -28,42 +29,42 @@
 	mu    sync.Mutex
 	fault Fault
 	// changed is closed and replaced when the fault changes.
-	changed chan struct{}
-	links   map[*link]bool
-	closed  bool
+	changed   chan struct{}
+	connPairs map[*connPair]bool
+	closed    bool
 }
 
-// link is one connection with its counterpart at the target.
-type link struct {
+// connPair is a client connection with its connection to the target.
+type connPair struct {
 	client, target net.Conn
-	// silent is closed when the link passes nothing more, for good.
-	silent chan struct{}
-	once   sync.Once
+	// blackholed is closed once the pair drops all further data.
+	blackholed chan struct{}
+	once       sync.Once
 }
 
-func (l *link) silence() { l.once.Do(func() { close(l.silent) }) }
+func (c *connPair) blackhole() { c.once.Do(func() { close(c.blackholed) }) }
 
-func (l *link) close() {
-	_ = l.client.Close()
-	_ = l.target.Close()
+func (c *connPair) close() {
+	_ = c.client.Close()
+	_ = c.target.Close()
 }
 
-// New starts a proxy on a loopback address of its own.
+// New starts a proxy on a free loopback address.
 func New(target string) (*Proxy, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
-	p := &Proxy{target: target, listener: l, changed: make(chan struct{}), links: map[*link]bool{}}
+	p := &Proxy{target: target, listener: l, changed: make(chan struct{}), connPairs: map[*connPair]bool{}}
 	go p.accept()
 	return p, nil
 }
 
-// Address returns where the proxy listens.
+// Address returns the address that the proxy listens on.
 func (p *Proxy) Address() string { return p.listener.Addr().String() }
 
-// Set changes the fault.
-func (p *Proxy) Set(f Fault) {
+// SetFault replaces the current fault.
+func (p *Proxy) SetFault(f Fault) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.fault = f
@@ -71,44 +72,44 @@
 	p.changed = make(chan struct{})
 }
 
-// Reset resets all connections that are open now.
-func (p *Proxy) Reset() {
-	for _, l := range p.open() {
-		abort(l.client)
-		abort(l.target)
+// ResetConnections resets all open connections.
+func (p *Proxy) ResetConnections() {
+	for _, pair := range p.openPairs() {
+		abort(pair.client)
+		abort(pair.target)
 	}
 }
 
-// Silence makes all connections that are open now pass nothing more. New ones
-// work.
-func (p *Proxy) Silence() {
-	for _, l := range p.open() {
-		l.silence()
+// BlackholeConnections drops all further data of the open connections. New
+// connections are not affected.
+func (p *Proxy) BlackholeConnections() {
+	for _, pair := range p.openPairs() {
+		pair.blackhole()
 	}
 }
 
-// Close ends the proxy and its connections.
+// Close closes the listener and all connections.
 func (p *Proxy) Close() {
 	_ = p.listener.Close()
 	p.mu.Lock()
 	p.closed = true
 	p.mu.Unlock()
-	for _, l := range p.open() {
-		l.close()
+	for _, pair := range p.openPairs() {
+		pair.close()
 	}
 }
 
-func (p *Proxy) open() []*link {
+func (p *Proxy) openPairs() []*connPair {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	out := make([]*link, 0, len(p.links))
-	for l := range p.links {
-		out = append(out, l)
+	pairs := make([]*connPair, 0, len(p.connPairs))
+	for pair := range p.connPairs {
+		pairs = append(pairs, pair)
 	}
-	return out
+	return pairs
 }
 
-func (p *Proxy) state() (Fault, chan struct{}) {
+func (p *Proxy) currentFault() (Fault, chan struct{}) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.fault, p.changed
@@ -130,39 +131,39 @@
 		abort(client)
 		return
 	}
-	l := &link{client: client, target: target, silent: make(chan struct{})}
+	pair := &connPair{client: client, target: target, blackholed: make(chan struct{})}
 	p.mu.Lock()
-	p.links[l] = true
+	p.connPairs[pair] = true
 	closed := p.closed
 	p.mu.Unlock()
 	if closed {
-		l.close()
+		pair.close()
 	}
 	done := make(chan struct{}, 2)
-	go p.pass(l, client, target, func(f Fault) bool { return f.HoldToTarget }, done)
-	go p.pass(l, target, client, func(f Fault) bool { return f.HoldToClient }, done)
+	go p.forward(pair, client, target, func(f Fault) bool { return f.HoldToTarget }, done)
+	go p.forward(pair, target, client, func(f Fault) bool { return f.HoldToClient }, done)
 	<-done
-	l.close()
+	pair.close()
 	<-done
 	p.mu.Lock()
-	delete(p.links, l)
+	delete(p.connPairs, pair)
 	p.mu.Unlock()
 }
 
-// pieceSize bounds what is passed on at once.
-const pieceSize = 16 << 10
+// bufferBytes limits the size of a forwarded chunk.
+const bufferBytes = 16 << 10
 
-// pass copies one way until either end is gone.
-func (p *Proxy) pass(l *link, from, to net.Conn, held func(Fault) bool, done chan<- struct{}) {
+// forward copies one direction until either side is closed.
+func (p *Proxy) forward(pair *connPair, from, to net.Conn, isHeld func(Fault) bool, done chan<- struct{}) {
 	defer func() { done <- struct{}{} }()
-	buf := make([]byte, pieceSize)
+	buf := make([]byte, bufferBytes)
 	for {
 		n, err := from.Read(buf)
 		if err != nil {
-			p.awaitSilence(l)
+			p.delayClose(pair)
 			return
 		}
-		if !p.admit(l, held) {
+		if !p.awaitForwarding(pair, isHeld) {
 			continue
 		}
 		if _, err := to.Write(buf[:n]); err != nil {
@@ -171,36 +172,37 @@
 	}
 }
 
-// awaitSilence keeps the end of a connection from its other side while data is
-// held up, since a partition holds that up as well.
-func (p *Proxy) awaitSilence(l *link) {
+// delayClose delays the close of a blackholed connection's other side, since a
+// network that drops data also drops the FIN.
+func (p *Proxy) delayClose(pair *connPair) {
 	select {
-	case <-l.silent:
-		time.Sleep(silentFor)
+	case <-pair.blackholed:
+		time.Sleep(blackholeCloseDelay)
 	default:
 	}
 }
 
-// silentFor is how long a silent connection stays open after one side has
-// closed it: the platform's members drop an unreachable end after 3 s.
-const silentFor = 3 * time.Second
+// blackholeCloseDelay is how long a blackholed connection stays open after one
+// side closes it. The platform's members close unreachable connections after 3 s.
+const blackholeCloseDelay = 3 * time.Second
 
-// admit waits out the fault in force; it reports false for data that is lost.
-func (p *Proxy) admit(l *link, held func(Fault) bool) bool {
+// awaitForwarding waits until the current fault lets data pass. It reports false
+// if the data is dropped.
+func (p *Proxy) awaitForwarding(pair *connPair, isHeld func(Fault) bool) bool {
 	for {
-		f, changed := p.state()
+		f, changed := p.currentFault()
 		select {
-		case <-l.silent:
+		case <-pair.blackholed:
 			return false
 		default:
 		}
-		if !held(f) {
+		if !isHeld(f) {
 			time.Sleep(f.Delay)
 			return true
 		}
 		select {
 		case <-changed:
-		case <-l.silent:
+		case <-pair.blackholed:
 		}
 	}
 }
@@ -208,7 +210,7 @@
 // abort closes a connection with a reset.
 func abort(c net.Conn) {
 	if t, ok := c.(*net.TCPConn); ok {
-		// Without it the close is an orderly one; the fault is milder then.
+		// On error the connection is closed with FIN instead of RST.
 		_ = t.SetLinger(0)
 	}
 	_ = c.Close()
--- a/standin/loopback/ports.go
+++ b/standin/loopback/ports.go
@@ -1,4 +1,4 @@
-// Package loopback hands out addresses for processes of one machine.
+// Package loopback allocates loopback addresses for test processes.
 package loopback
 
 import (
@@ -9,12 +9,12 @@
 	"sync/atomic"
 )
 
-// Ports for listeners lie below those that the system gives to outgoing
-// connections, so that none is taken between its choice and its use.
+// Listener ports lie below the ephemeral port range, so that no outgoing
+// connection takes a port between its choice and its use.
 const (
 	firstPort = 10_000
 	portCount = 22_000
-	// portStep keeps processes that start together apart.
+	// portStep spreads the first ports of processes with consecutive IDs.
 	portStep = 131
 )
 
@@ -22,28 +22,27 @@
 
 func init() { nextPort.Store(int64(os.Getpid()) * portStep) }
 
-var errNoPort = errors.New("no port is free")
+var errNoPort = errors.New("no free loopback port in the listener range")
 
-// nextAddress returns another address on each call, until all had their turn.
+// nextAddress iterates over the listener ports, wrapping around.
 func nextAddress() string {
 	port := firstPort + int(nextPort.Add(1)%portCount)
 	return net.JoinHostPort("127.0.0.1", strconv.Itoa(port))
 }
 
-// FreeAddress returns a loopback address that is free for TCP and UDP. Each
-// call in a process returns another one.
+// FreeAddress returns a loopback address that is free for TCP and UDP. Calls in
+// one process return distinct addresses.
 func FreeAddress() (string, error) {
 	for range portCount {
-		if address := nextAddress(); free(address) {
+		if address := nextAddress(); isFree(address) {
 			return address, nil
 		}
 	}
 	return "", errNoPort
 }
 
-// Listen returns a listener at a free loopback address. The address stays free
-// of outgoing connections when it is closed, so that it can be listened at
-// again.
+// Listen returns a listener on a free loopback address. No outgoing connection
+// takes its port after it closes, so that the address can be reused.
 func Listen() (net.Listener, error) {
 	for range portCount {
 		if l, err := net.Listen("tcp", nextAddress()); err == nil {
@@ -53,7 +52,7 @@
 	return nil, errNoPort
 }
 
-func free(address string) bool {
+func isFree(address string) bool {
 	l, err := net.Listen("tcp", address)
 	if err != nil {
 		return false
--- a/standin/loopback/ports_test.go
+++ b/standin/loopback/ports_test.go
@@ -8,15 +8,15 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestClosedListenersAddressCanBeTakenAgain: it lies below the ports of
-// outgoing connections, so a process that restarts finds it free.
-func TestClosedListenersAddressCanBeTakenAgain(t *testing.T) {
+// Guards against a restarted process finding its port taken by an outgoing
+// connection.
+func TestAddressIsReusableAfterClose(t *testing.T) {
 	seen := map[string]bool{}
 	for range 50 {
 		l, err := Listen()
 		require.NoError(t, err)
 		address := l.Addr().String()
-		require.False(t, seen[address], "each call returns another address")
+		require.False(t, seen[address], "calls return distinct addresses")
 		seen[address] = true
 		_, text, err := net.SplitHostPort(address)
 		require.NoError(t, err)
--- a/standin/netem/conn.go
+++ b/standin/netem/conn.go
@@ -8,10 +8,13 @@
 	"time"
 )
 
-// pipeDepth bounds the chunks in flight in one direction.
-const pipeDepth = 256
+// maxChunksInFlight limits the queued chunks in each direction.
+const maxChunksInFlight = 256
 
-// conn delays both directions of a connection and stops them during a cut.
+const readBufferBytes = 32 * 1024
+
+// conn delays both directions of a connection and blocks them during a
+// partition.
 type conn struct {
 	net.Conn
 	network  *Network
@@ -20,28 +23,28 @@
 	ctx      context.Context
 	cancel   context.CancelFunc
 
-	out chan chunk
-	in  chan chunk
+	outbound chan chunk
+	inbound  chan chunk
 
-	mu       sync.Mutex
-	deadline time.Time
-	bump     chan struct{}
+	mu              sync.Mutex
+	deadline        time.Time
+	deadlineChanged chan struct{}
 
-	// reading is held by one Read at a time; it guards the fields below. It is
-	// taken before mu.
-	reading sync.Mutex
-	rest    []byte
+	// readMu serializes Read and guards unread and readErr. It is locked before
+	// mu.
+	readMu  sync.Mutex
+	unread  []byte
 	readErr error
 
 	closeOnce sync.Once
 	closed    chan struct{}
 }
 
-// chunk is a piece of the stream with the time at which it arrives.
+// chunk is a part of the byte stream in transit.
 type chunk struct {
-	data []byte
-	due  time.Time
-	err  error
+	data      []byte
+	arrivesAt time.Time
+	err       error
 }
 
 func newConn(inner net.Conn, n *Network, from, to string, delay time.Duration) *conn {
@@ -49,20 +52,20 @@
 	c := &conn{
 		Conn: inner, network: n, from: from, to: to, delay: delay,
 		ctx: ctx, cancel: cancel,
-		out: make(chan chunk, pipeDepth), in: make(chan chunk, pipeDepth),
-		bump: make(chan struct{}), closed: make(chan struct{}),
+		outbound: make(chan chunk, maxChunksInFlight), inbound: make(chan chunk, maxChunksInFlight),
+		deadlineChanged: make(chan struct{}), closed: make(chan struct{}),
 	}
-	go c.pumpOut()
-	go c.pumpIn()
+	go c.sendLoop()
+	go c.receiveLoop()
 	return c
 }
 
-// pumpOut carries written chunks to the far side.
-func (c *conn) pumpOut() {
+// sendLoop writes queued chunks to the peer.
+func (c *conn) sendLoop() {
 	for {
 		select {
-		case ch := <-c.out:
-			if !c.transfer(ch.due) {
+		case ch := <-c.outbound:
+			if !c.awaitDelivery(ch.arrivesAt) {
 				return
 			}
 			if _, err := c.Conn.Write(ch.data); err != nil {
@@ -74,14 +77,14 @@
 	}
 }
 
-// pumpIn carries chunks from the far side to Read.
-func (c *conn) pumpIn() {
-	buf := make([]byte, 32*1024)
+// receiveLoop queues received chunks for Read.
+func (c *conn) receiveLoop() {
+	buf := make([]byte, readBufferBytes)
 	for {
 		n, err := c.Conn.Read(buf)
-		ch := chunk{data: append([]byte(nil), buf[:n]...), due: time.Now().Add(c.delay), err: err}
+		ch := chunk{data: append([]byte(nil), buf[:n]...), arrivesAt: time.Now().Add(c.delay), err: err}
 		select {
-		case c.in <- ch:
+		case c.inbound <- ch:
 		case <-c.ctx.Done():
 			return
 		}
@@ -91,33 +94,34 @@
 	}
 }
 
-// transfer waits for a chunk's time and for the path to be open.
-func (c *conn) transfer(due time.Time) bool {
+// awaitDelivery waits until a chunk is due and the path is reachable. It reports
+// false if the connection closes first.
+func (c *conn) awaitDelivery(due time.Time) bool {
 	if sleep(c.ctx, time.Until(due)) != nil {
 		return false
 	}
-	return c.network.wait(c.ctx, c.from, c.to) == nil
+	return c.network.waitReachable(c.ctx, c.from, c.to) == nil
 }
 
-// Write queues b for the far side.
+// Write queues b for sending.
 func (c *conn) Write(b []byte) (int, error) {
-	ch := chunk{data: append([]byte(nil), b...), due: time.Now().Add(c.delay)}
+	ch := chunk{data: append([]byte(nil), b...), arrivesAt: time.Now().Add(c.delay)}
 	select {
-	case c.out <- ch:
+	case c.outbound <- ch:
 		return len(b), nil
 	case <-c.ctx.Done():
 		return 0, net.ErrClosed
 	}
 }
 
-// Read returns what has arrived. Reads from several goroutines take turns.
+// Read returns received data. It may be called concurrently.
 func (c *conn) Read(b []byte) (int, error) {
-	c.reading.Lock()
-	defer c.reading.Unlock()
+	c.readMu.Lock()
+	defer c.readMu.Unlock()
 	for {
-		if len(c.rest) > 0 {
-			n := copy(b, c.rest)
-			c.rest = c.rest[n:]
+		if len(c.unread) > 0 {
+			n := copy(b, c.unread)
+			c.unread = c.unread[n:]
 			return n, nil
 		}
 		if c.readErr != nil {
@@ -129,10 +133,10 @@
 	}
 }
 
-// fill waits for the next chunk, the deadline or a close.
+// fill waits for the next chunk, a changed deadline, a timeout or a close.
 func (c *conn) fill() error {
 	c.mu.Lock()
-	deadline, bump := c.deadline, c.bump
+	deadline, deadlineChanged := c.deadline, c.deadlineChanged
 	c.mu.Unlock()
 	var timeout <-chan time.Time
 	if !deadline.IsZero() {
@@ -141,13 +145,13 @@
 		timeout = timer.C
 	}
 	select {
-	case ch := <-c.in:
-		if !c.transfer(ch.due) {
+	case ch := <-c.inbound:
+		if !c.awaitDelivery(ch.arrivesAt) {
 			return net.ErrClosed
 		}
-		c.rest, c.readErr = ch.data, ch.err
+		c.unread, c.readErr = ch.data, ch.err
 		return nil
-	case <-bump:
+	case <-deadlineChanged:
 		return nil
 	case <-timeout:
 		return os.ErrDeadlineExceeded
@@ -158,40 +162,39 @@
 	}
 }
 
-// SetDeadline sets the read deadline; writes never block for long here.
+// SetDeadline sets the read deadline only, since writes are queued.
 func (c *conn) SetDeadline(t time.Time) error { return c.SetReadDeadline(t) }
 
-// SetReadDeadline bounds Read.
 func (c *conn) SetReadDeadline(t time.Time) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.deadline = t
-	close(c.bump)
-	c.bump = make(chan struct{})
+	close(c.deadlineChanged)
+	c.deadlineChanged = make(chan struct{})
 	return nil
 }
 
 // SetWriteDeadline has no effect; writes are queued.
 func (c *conn) SetWriteDeadline(time.Time) error { return nil }
 
-// closeWait bounds how long a close may wait for a cut path to heal.
-const closeWait = time.Minute
+// maxCloseWait limits how long closing waits for a partition to heal.
+const maxCloseWait = time.Minute
 
-// Close ends both directions. Over a cut path the far side learns of it only
-// once the path is open, as with packets that are dropped.
+// Close closes the connection. During a partition the peer sees the close only
+// after the partition heals, since its packets are dropped until then.
 func (c *conn) Close() error {
 	c.closeOnce.Do(func() {
 		close(c.closed)
-		go c.drainAndClose()
+		go c.closeAfterDrain()
 	})
 	return nil
 }
 
-func (c *conn) drainAndClose() {
-	ctx, cancel := context.WithTimeout(context.Background(), closeWait)
+func (c *conn) closeAfterDrain() {
+	ctx, cancel := context.WithTimeout(context.Background(), maxCloseWait)
 	defer cancel()
-	_ = c.network.wait(ctx, c.from, c.to)
-	for len(c.out) > 0 && ctx.Err() == nil {
+	_ = c.network.waitReachable(ctx, c.from, c.to)
+	for len(c.outbound) > 0 && ctx.Err() == nil {
 		time.Sleep(time.Millisecond)
 	}
 	time.Sleep(c.delay)
--- a/standin/netem/conn_test.go
+++ b/standin/netem/conn_test.go
@@ -8,24 +8,23 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestReadsMayOverlap: a connection's methods may be called from several
-// goroutines. The PostgreSQL client does so when it closes a connection while
-// its background reader waits. Each reader also has to see the end.
-func TestReadsMayOverlap(t *testing.T) {
+// Guards against concurrent reads that lose data or miss the end of the stream.
+// The PostgreSQL client closes a connection while its background reader waits.
+func TestConcurrentReadsReceiveAllData(t *testing.T) {
 	const size = 2000
-	near, far := net.Pipe()
-	c := newConn(near, New(nil, Latency{}), "a", "b", 0)
+	local, remote := net.Pipe()
+	c := newConn(local, New(nil, Latency{}), "a", "b", 0)
 	defer func() { require.NoError(t, c.Close()) }()
 	go func() {
 		for range size {
-			if _, err := far.Write([]byte{1}); err != nil {
+			if _, err := remote.Write([]byte{1}); err != nil {
 				return
 			}
 		}
-		_ = far.Close()
+		_ = remote.Close()
 	}()
 	var mu sync.Mutex
-	got := 0
+	received := 0
 	var wg sync.WaitGroup
 	for range 2 {
 		wg.Go(func() {
@@ -33,7 +32,7 @@
 			for {
 				n, err := c.Read(buf)
 				mu.Lock()
-				got += n
+				received += n
 				mu.Unlock()
 				if err != nil {
 					return
@@ -42,5 +41,5 @@
 		})
 	}
 	wg.Wait()
-	require.Equal(t, size, got)
+	require.Equal(t, size, received)
 }
--- a/standin/netem/network.go
+++ b/standin/netem/network.go
@@ -1,6 +1,6 @@
-// Package netem emulates the latency and the partitions of a network between
-// availability zones, for processes that share one machine. It wraps the
-// connections that a dialler opens; nothing listens here.
+// Package netem emulates network latency and partitions between availability
+// zones, for processes on one machine. It wraps outgoing connections; listeners
+// need no change.
 package netem
 
 import (
@@ -10,75 +10,74 @@
 	"time"
 )
 
-// Network holds the latencies and cuts between zones. It is safe for
-// concurrent use.
+// Network holds the latencies and partitions between endpoints. An endpoint is a
+// zone or a listener's address. It is safe for concurrent use.
 type Network struct {
-	mu      sync.RWMutex
-	regions map[string]string
-	latency Latency
-	cuts    map[cut]bool
-	changed chan struct{}
-	zoneOf  map[string]string
+	mu         sync.RWMutex
+	regions    map[string]string
+	latency    Latency
+	partitions map[endpointPair]bool
+	changed    chan struct{}
+	zoneOf     map[string]string
 }
 
-// Latency holds one-way delays.
+// Latency holds the one-way delays within a zone, between zones of a region and
+// between regions.
 type Latency struct {
-	InZone  time.Duration
-	InterAZ time.Duration
-	Region  time.Duration
+	InZone      time.Duration
+	InterAZ     time.Duration
+	InterRegion time.Duration
 }
 
-// cut is a pair of places that cannot reach each other.
-type cut struct{ a, b string }
+type endpointPair struct{ a, b string }
 
-// New returns a network of the given zones and their regions.
+// New returns a network; regions maps each zone to its region.
 func New(regions map[string]string, latency Latency) *Network {
 	return &Network{
-		regions: regions,
-		latency: latency,
-		cuts:    make(map[cut]bool),
-		changed: make(chan struct{}),
-		zoneOf:  make(map[string]string),
+		regions:    regions,
+		latency:    latency,
+		partitions: make(map[endpointPair]bool),
+		changed:    make(chan struct{}),
+		zoneOf:     make(map[string]string),
 	}
 }
 
-// Place tells the network in which zone the listener at addr is.
-func (n *Network) Place(addr, zone string) {
+// SetZone assigns the listener at addr to a zone.
+func (n *Network) SetZone(addr, zone string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.zoneOf[addr] = zone
 }
 
-// Cut stops all traffic between two places, in both directions. A place is a
-// zone or a listener's address.
-func (n *Network) Cut(a, b string) { n.setCut(a, b, true) }
+// Partition blocks all traffic between two endpoints, in both directions.
+func (n *Network) Partition(a, b string) { n.setPartition(a, b, true) }
 
-// Heal ends a cut.
-func (n *Network) Heal(a, b string) { n.setCut(a, b, false) }
+// Heal ends a partition between two endpoints.
+func (n *Network) Heal(a, b string) { n.setPartition(a, b, false) }
 
-func (n *Network) setCut(a, b string, on bool) {
+func (n *Network) setPartition(a, b string, on bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if on {
-		n.cuts[cut{a, b}], n.cuts[cut{b, a}] = true, true
+		n.partitions[endpointPair{a, b}], n.partitions[endpointPair{b, a}] = true, true
 	} else {
-		delete(n.cuts, cut{a, b})
-		delete(n.cuts, cut{b, a})
+		delete(n.partitions, endpointPair{a, b})
+		delete(n.partitions, endpointPair{b, a})
 	}
 	close(n.changed)
 	n.changed = make(chan struct{})
 }
 
-// Isolate cuts a zone from every other.
+// Isolate starts or ends a partition between a zone and every other zone.
 func (n *Network) Isolate(zone string, on bool) {
 	for other := range n.regions {
 		if other != zone {
-			n.setCut(zone, other, on)
+			n.setPartition(zone, other, on)
 		}
 	}
 }
 
-// Reachable reports whether traffic passes between two zones or addresses.
+// Reachable reports whether traffic passes between two endpoints.
 func (n *Network) Reachable(a, b string) bool {
 	n.mu.RLock()
 	defer n.mu.RUnlock()
@@ -87,39 +86,39 @@
 
 // reachable needs mu held.
 func (n *Network) reachable(a, b string) bool {
-	za, zb := n.place(a), n.place(b)
-	return !n.cuts[cut{a, b}] && !n.cuts[cut{za, zb}] && !n.cuts[cut{a, zb}] && !n.cuts[cut{za, b}]
+	za, zb := n.zoneOrAddress(a), n.zoneOrAddress(b)
+	return !n.partitions[endpointPair{a, b}] && !n.partitions[endpointPair{za, zb}] && !n.partitions[endpointPair{a, zb}] && !n.partitions[endpointPair{za, b}]
 }
 
-func (n *Network) place(addr string) string {
+func (n *Network) zoneOrAddress(addr string) string {
 	if zone, found := n.zoneOf[addr]; found {
 		return zone
 	}
 	return addr
 }
 
-// Delay returns the one-way latency between two zones or addresses.
+// Delay returns the one-way latency between two endpoints.
 func (n *Network) Delay(a, b string) time.Duration {
 	n.mu.RLock()
 	defer n.mu.RUnlock()
-	za, zb := n.place(a), n.place(b)
+	za, zb := n.zoneOrAddress(a), n.zoneOrAddress(b)
 	switch {
 	case za == zb:
 		return n.latency.InZone
 	case n.regions[za] == n.regions[zb]:
 		return n.latency.InterAZ
 	default:
-		return n.latency.Region
+		return n.latency.InterRegion
 	}
 }
 
-// wait blocks until traffic passes between a and b or the context ends.
-func (n *Network) wait(ctx context.Context, a, b string) error {
+// waitReachable blocks until traffic passes between a and b or the context ends.
+func (n *Network) waitReachable(ctx context.Context, a, b string) error {
 	for {
 		n.mu.RLock()
-		open, changed := n.reachable(a, b), n.changed
+		reachable, changed := n.reachable(a, b), n.changed
 		n.mu.RUnlock()
-		if open {
+		if reachable {
 			return nil
 		}
 		select {
@@ -130,27 +129,27 @@
 	}
 }
 
-// Dialer opens connections from one place.
+// Dialer opens connections from one endpoint.
 type Dialer struct {
 	Network *Network
-	// From is the zone, or an address placed in one.
+	// From is a zone or the address of a listener.
 	From string
-	// Extra is added to the one-way latency of every path.
-	Extra time.Duration
+	// ExtraDelay is added to the one-way latency of every path.
+	ExtraDelay time.Duration
 }
 
-// DialContext opens a connection to addr with the latency of the path. While
-// the path is cut it blocks, as a dial whose packets are dropped does.
+// DialContext opens a connection to addr with the latency of the path. During a
+// partition it blocks, as when SYN packets are dropped.
 func (d *Dialer) DialContext(ctx context.Context, network, addr string) (net.Conn, error) {
-	if err := d.Network.wait(ctx, d.From, addr); err != nil {
+	if err := d.Network.waitReachable(ctx, d.From, addr); err != nil {
 		return nil, &net.OpError{Op: "dial", Net: network, Err: err}
 	}
-	delay := d.Network.Delay(d.From, addr) + d.Extra
+	delay := d.Network.Delay(d.From, addr) + d.ExtraDelay
 	if err := sleep(ctx, 2*delay); err != nil {
 		return nil, &net.OpError{Op: "dial", Net: network, Err: err}
 	}
-	var plain net.Dialer
-	c, err := plain.DialContext(ctx, network, addr)
+	var dialer net.Dialer
+	c, err := dialer.DialContext(ctx, network, addr)
 	if err != nil {
 		return nil, err
 	}
--- a/standin/netem/packet_conn.go
+++ b/standin/netem/packet_conn.go
@@ -5,12 +5,12 @@
 	"time"
 )
 
-// PacketConn delays datagrams and drops those over a cut path.
+// PacketConn delays outgoing datagrams and drops those to unreachable addresses.
 type PacketConn struct {
 	net.PacketConn
-	// Network holds the paths; From is the place of the sender.
 	Network *Network
-	From    string
+	// From is the zone or the address of the sender.
+	From string
 }
 
 // WriteTo sends a datagram after the latency of its path.
--- a/standin/platform/kv.go
+++ b/standin/platform/kv.go
@@ -9,9 +9,10 @@
 	"time"
 )
 
+// defaultWait is the duration of a blocking query that sets none, as in Consul.
 const defaultWait = 5 * time.Minute
 
-// get serves a read, a read below a prefix (recurse) and a blocking query.
+// get serves reads of a key or a prefix (recurse), and blocking queries.
 func (s *Server) get(w http.ResponseWriter, r *http.Request) {
 	key := r.PathValue("key")
 	query := r.URL.Query()
@@ -20,8 +21,8 @@
 	if err != nil {
 		wait = defaultWait
 	}
-	s.block(r, key, after, wait)
-	if s.out.Load() {
+	s.waitForChange(r, key, after, wait)
+	if s.outage.Load() {
 		http.Error(w, "the service is out", http.StatusServiceUnavailable)
 		return
 	}
@@ -36,7 +37,7 @@
 	writeJSON(w, entries)
 }
 
-// read needs mu held. The index is that of the newest entry it covers.
+// read returns the matching entries and their highest index. It needs mu held.
 func (s *Server) read(key string, recurse bool) ([]kvEntry, uint64) {
 	var entries []kvEntry
 	var index uint64
@@ -49,8 +50,9 @@
 	return entries, index
 }
 
-// block waits until key has changed past an index.
-func (s *Server) block(r *http.Request, key string, after uint64, wait time.Duration) {
+// waitForChange blocks until the index of key exceeds after, the wait expires or
+// an outage starts.
+func (s *Server) waitForChange(r *http.Request, key string, after uint64, wait time.Duration) {
 	if after == 0 {
 		return
 	}
@@ -61,7 +63,7 @@
 		_, index := s.read(key, r.URL.Query().Has("recurse"))
 		changed := s.changed
 		s.mu.Unlock()
-		if max(index, 1) > after || s.out.Load() {
+		if max(index, 1) > after || s.outage.Load() {
 			return
 		}
 		select {
@@ -74,47 +76,47 @@
 	}
 }
 
-// put serves a write, with cas and acquire conditions.
+// put serves writes, which may be conditional on cas and acquire.
 func (s *Server) put(w http.ResponseWriter, r *http.Request) {
-	body, err := io.ReadAll(io.LimitReader(r.Body, maxValue+1))
+	body, err := io.ReadAll(io.LimitReader(r.Body, maxValueBytes+1))
 	if err != nil {
 		return
 	}
-	if len(body) > maxValue {
+	if len(body) > maxValueBytes {
 		http.Error(w, "value exceeds the limit", http.StatusRequestEntityTooLarge)
 		return
 	}
 	key, query := r.PathValue("key"), r.URL.Query()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.expire()
-	it := s.items[key]
+	s.expireSessions()
+	stored := s.items[key]
 	if query.Has("cas") {
-		want, err := strconv.ParseUint(query.Get("cas"), 10, 64)
-		if err != nil || want != it.index {
+		wantIndex, err := strconv.ParseUint(query.Get("cas"), 10, 64)
+		if err != nil || wantIndex != stored.index {
 			writeJSON(w, false)
 			return
 		}
 	}
 	if id := query.Get("acquire"); id != "" {
-		if _, live := s.sessions[id]; !live || (it.session != "" && it.session != id) {
+		if _, live := s.sessions[id]; !live || (stored.session != "" && stored.session != id) {
 			writeJSON(w, false)
 			return
 		}
-		it.session = id
+		stored.session = id
 	}
 	s.index++
-	it.value, it.index = body, s.index
-	s.items[key] = it
-	s.signal()
+	stored.value, stored.index = body, s.index
+	s.items[key] = stored
+	s.wakeWaiters()
 	writeJSON(w, true)
 }
 
-func (s *Server) remove(w http.ResponseWriter, r *http.Request) {
+func (s *Server) deleteKey(w http.ResponseWriter, r *http.Request) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	delete(s.items, r.PathValue("key"))
 	s.index++
-	s.signal()
+	s.wakeWaiters()
 	writeJSON(w, true)
 }
--- a/standin/platform/hosts.go
+++ b/standin/platform/services.go
@@ -7,7 +7,8 @@
 	"time"
 )
 
-// Service is Consul's form of a registered process.
+// Service is a Consul service instance: Name is set in registrations, Service in
+// listings.
 type Service struct {
 	ID      string
 	Name    string `json:"Name,omitempty"`
@@ -17,11 +18,11 @@
 	Meta    map[string]string
 }
 
-// registration is a change to the list, visible after a lag.
+// registration is one change to the service list.
 type registration struct {
-	service Service
-	at      time.Time
-	gone    bool
+	service    Service
+	recordedAt time.Time
+	removed    bool
 }
 
 type healthEntry struct {
@@ -35,11 +36,11 @@
 		return
 	}
 	svc.Service, svc.Name = svc.Name, ""
-	s.record(registration{service: svc, at: time.Now()})
+	s.record(registration{service: svc, recordedAt: time.Now()})
 }
 
 func (s *Server) deregister(w http.ResponseWriter, r *http.Request) {
-	s.record(registration{service: Service{ID: r.PathValue("id")}, at: time.Now(), gone: true})
+	s.record(registration{service: Service{ID: r.PathValue("id")}, recordedAt: time.Now(), removed: true})
 }
 
 func (s *Server) record(reg registration) {
@@ -48,18 +49,18 @@
 	s.services = append(s.services, reg)
 }
 
-// health lists the registered processes as they were before the lag.
-func (s *Server) health(w http.ResponseWriter, r *http.Request) {
+// listHealth lists the registered instances as of listLag ago.
+func (s *Server) listHealth(w http.ResponseWriter, r *http.Request) {
 	name := r.PathValue("name")
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	list := []healthEntry{}
 	for _, reg := range s.services {
-		if time.Since(reg.at) < s.listLag {
+		if time.Since(reg.recordedAt) < s.listLag {
 			break
 		}
 		list = slices.DeleteFunc(list, func(e healthEntry) bool { return e.Service.ID == reg.service.ID })
-		if !reg.gone && reg.service.Service == name {
+		if !reg.removed && reg.service.Service == name {
 			list = append(list, healthEntry{Service: reg.service})
 		}
 	}
--- a/standin/platform/session.go
+++ b/standin/platform/session.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// session is a lease: it ends unless it is renewed.
+// session is a Consul session, which expires unless renewed within its TTL.
 type session struct {
 	ttl     time.Duration
 	expires time.Time
@@ -17,10 +17,11 @@
 	TTL string
 }
 
-type sessionAnswer struct {
+type sessionResponse struct {
 	ID string
 }
 
+// defaultTTL applies to sessions created without a valid TTL.
 const defaultTTL = 15 * time.Second
 
 func (s *Server) createSession(w http.ResponseWriter, r *http.Request) {
@@ -32,52 +33,52 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.nextID++
-	id := "session-" + strconv.FormatUint(s.nextID, 10)
+	s.lastSessionID++
+	id := "session-" + strconv.FormatUint(s.lastSessionID, 10)
 	s.sessions[id] = session{ttl: ttl, expires: time.Now().Add(ttl)}
-	writeJSON(w, sessionAnswer{ID: id})
+	writeJSON(w, sessionResponse{ID: id})
 }
 
 func (s *Server) renewSession(w http.ResponseWriter, r *http.Request) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.expire()
+	s.expireSessions()
 	id := r.PathValue("id")
-	se, live := s.sessions[id]
+	sess, live := s.sessions[id]
 	if !live {
 		http.NotFound(w, r)
 		return
 	}
-	se.expires = time.Now().Add(se.ttl)
-	s.sessions[id] = se
-	writeJSON(w, []sessionAnswer{{ID: id}})
+	sess.expires = time.Now().Add(sess.ttl)
+	s.sessions[id] = sess
+	writeJSON(w, []sessionResponse{{ID: id}})
 }
 
 func (s *Server) destroySession(w http.ResponseWriter, r *http.Request) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.end(r.PathValue("id"))
+	s.endSession(r.PathValue("id"))
 	writeJSON(w, true)
 }
 
-// expire ends the sessions whose time is up; it needs mu held.
-func (s *Server) expire() {
-	for id, se := range s.sessions {
-		if time.Now().After(se.expires) {
-			s.end(id)
+// expireSessions ends the sessions whose TTL has passed. It needs mu held.
+func (s *Server) expireSessions() {
+	for id, sess := range s.sessions {
+		if time.Now().After(sess.expires) {
+			s.endSession(id)
 		}
 	}
 }
 
-// end releases what a session holds; it needs mu held.
-func (s *Server) end(id string) {
+// endSession removes a session and releases its keys. It needs mu held.
+func (s *Server) endSession(id string) {
 	delete(s.sessions, id)
-	for k, it := range s.items {
-		if it.session == id {
+	for k, stored := range s.items {
+		if stored.session == id {
 			s.index++
-			it.session, it.index = "", s.index
-			s.items[k] = it
+			stored.session, stored.index = "", s.index
+			s.items[k] = stored
 		}
 	}
-	s.signal()
+	s.wakeWaiters()
 }
--- a/standin/workload/caller.go
+++ b/standin/workload/caller.go
@@ -16,39 +16,40 @@
 const (
 	tokenParameter = "dotterelswitch.token"
 	connectTimeout = 3 * time.Second
-	// roamEvery is the mean number of requests between moves to another host.
-	roamEvery = 25
-	// subjects is how many subjects the callers of a service share.
-	subjects = 400
-	// transactionShare and keyedShare are the parts of writes that run in an
-	// explicit transaction and with an idempotency key.
+	// meanRequestsPerEntry is the mean number of requests that a caller sends
+	// before it moves to another host.
+	meanRequestsPerEntry = 25
+	// subjectCount is the number of subjects per service.
+	subjectCount = 400
+	// transactionShare is the fraction of writes in an explicit transaction;
+	// idempotentShare is the fraction of the others with an idempotency key.
 	transactionShare = 0.15
-	keyedShare       = 0.5
-	// resendFor bounds how long a keyed write is sent again.
-	resendFor = 20 * time.Second
-	resendGap = 100 * time.Millisecond
+	idempotentShare  = 0.5
+	// resendTimeout limits the retries of a write with an idempotency key.
+	resendTimeout = 20 * time.Second
+	retryDelay    = 100 * time.Millisecond
 )
 
-// caller is one client session that roams between entry addresses.
+// caller is one client session that moves between entry addresses.
 type caller struct {
-	run      *run
-	id       int
-	rng      *rand.Rand
-	service  string
-	team     string
-	conn     *pgx.Conn
-	token    string
-	entry    int
-	sequence int
-	own      map[string][]string
+	run        *run
+	id         int
+	rng        *rand.Rand
+	service    string
+	team       string
+	conn       *pgx.Conn
+	token      string
+	entryIndex int
+	sequence   int
+	ownWrites  map[string][]string
 }
 
-// loop makes requests until the context ends.
-func (c *caller) loop(ctx context.Context) {
+// sendRequests sends requests until the context ends.
+func (c *caller) sendRequests(ctx context.Context) {
 	defer c.disconnect()
 	for ctx.Err() == nil {
 		if c.conn == nil && !c.connect(ctx) {
-			pause(ctx, resendGap)
+			sleep(ctx, retryDelay)
 			continue
 		}
 		if c.rng.Float64() < c.run.spec.WriteShare {
@@ -56,15 +57,15 @@
 		} else {
 			c.read(ctx)
 		}
-		if c.rng.IntN(roamEvery) == 0 {
+		if c.rng.IntN(meanRequestsPerEntry) == 0 {
 			c.disconnect()
-			c.entry++
+			c.entryIndex++
 		}
-		pause(ctx, time.Duration(c.rng.ExpFloat64()*float64(c.run.spec.Think)))
+		sleep(ctx, time.Duration(c.rng.ExpFloat64()*float64(c.run.spec.ThinkTime)))
 	}
 }
 
-func pause(ctx context.Context, d time.Duration) {
+func sleep(ctx context.Context, d time.Duration) {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
 	select {
@@ -73,9 +74,10 @@
 	}
 }
 
-// connect opens a session on the next entry address, with the token so far.
+// connect opens a session on the current entry address with the last session
+// token.
 func (c *caller) connect(ctx context.Context) bool {
-	entry := c.run.entries[c.entry%len(c.run.entries)]
+	entry := c.run.entries[c.entryIndex%len(c.run.entries)]
 	cfg, err := pgx.ParseConfig(fmt.Sprintf("postgres://%s@%s/%s?sslmode=disable", c.team, entry.Address, c.service))
 	if err != nil {
 		return false
@@ -88,7 +90,7 @@
 	defer cancel()
 	conn, err := pgx.ConnectConfig(ctx, cfg)
 	if err != nil {
-		c.entry++
+		c.entryIndex++
 		return false
 	}
 	c.conn = conn
@@ -99,26 +101,27 @@
 	if c.conn == nil {
 		return
 	}
-	c.keepToken()
+	c.saveToken()
 	ctx, cancel := context.WithTimeout(context.Background(), connectTimeout)
 	defer cancel()
 	_ = c.conn.Close(ctx)
 	c.conn = nil
 }
 
-func (c *caller) keepToken() {
+func (c *caller) saveToken() {
 	if t := c.conn.PgConn().ParameterStatus(tokenParameter); t != "" {
 		c.token = t
 	}
 }
 
-// broken drops the connection after an error that it does not survive.
-func (c *caller) broken(err error) {
-	c.keepToken()
+// handleError drops the connection unless the server reported the error on a
+// connection that stays open.
+func (c *caller) handleError(err error) {
+	c.saveToken()
 	if c.conn.IsClosed() || !isServerError(err) {
 		_ = c.conn.Close(context.Background())
 		c.conn = nil
-		c.entry++
+		c.entryIndex++
 	}
 }
 
@@ -127,13 +130,13 @@
 	return errors.As(err, &pgErr)
 }
 
-// read looks a subject up and has the answer checked.
+// read queries a random subject and checks the answer.
 func (c *caller) read(ctx context.Context) {
 	class := c.pickClass()
 	subject := c.subject()
 	r := Read{
 		Service: c.service, Subject: subject, Started: time.Now(), Staleness: class.Staleness,
-		Own: append([]string(nil), c.own[subject]...),
+		OwnWrites: append([]string(nil), c.ownWrites[subject]...),
 	}
 	sql := fmt.Sprintf("/* dotterelswitch: class=%s */ SELECT value FROM readings WHERE subject = $1", class.Name)
 	rows, err := c.conn.Query(context.WithoutCancel(ctx), sql, subject)
@@ -144,133 +147,133 @@
 		c.readFailed(err)
 		return
 	}
-	c.keepToken()
+	c.saveToken()
 	c.run.readTime.record(time.Since(r.Started))
 	c.run.checker.CheckRead(r)
 }
 
 func (c *caller) readFailed(err error) {
 	if isServerError(err) {
-		c.run.checker.RefusedRead()
-		c.run.note(err)
+		c.run.checker.RecordRefusedRead()
+		c.run.countError(err)
 	} else {
-		c.run.checker.Cut()
+		c.run.checker.RecordUnanswered()
 	}
-	c.broken(err)
+	c.handleError(err)
 }
 
 func (c *caller) pickClass() ClassShare {
-	x := c.rng.Float64()
-	for _, cl := range c.run.spec.Classes {
-		if x < cl.Share {
-			return cl
+	pick := c.rng.Float64()
+	for _, class := range c.run.spec.Classes {
+		if pick < class.Share {
+			return class
 		}
-		x -= cl.Share
+		pick -= class.Share
 	}
 	return c.run.spec.Classes[0]
 }
 
-func (c *caller) subject() string { return fmt.Sprintf("s%03d", c.rng.IntN(subjects)) }
+func (c *caller) subject() string { return fmt.Sprintf("s%03d", c.rng.IntN(subjectCount)) }
 
-// write stores one unique value.
+// write stores a unique value and records the outcome.
 func (c *caller) write(ctx context.Context) {
 	c.sequence++
 	subject := c.subject()
 	value := fmt.Sprintf("%s|%s|%d|%d", c.service, subject, c.id, c.sequence)
-	c.run.checker.Try(c.service, subject, value)
+	c.run.checker.RecordAttempt(c.service, subject, value)
 	started := time.Now()
-	var fate Fate
+	var outcome WriteOutcome
 	switch {
 	case c.rng.Float64() < transactionShare:
-		fate = c.writeInTransaction(ctx, subject, value)
-	case c.rng.Float64() < keyedShare:
-		fate = c.writeKeyed(ctx, subject, value)
+		outcome = c.writeInTransaction(ctx, subject, value)
+	case c.rng.Float64() < idempotentShare:
+		outcome = c.writeIdempotent(ctx, subject, value)
 	default:
-		fate = c.writeOnce(ctx, "", subject, value)
+		outcome = c.writeOnce(ctx, "", subject, value)
 	}
 	ended := time.Now()
-	c.run.checker.Settle(value, fate, ended)
-	if fate == FateAcked {
-		c.own[subject] = append(c.own[subject], value)
+	c.run.checker.RecordOutcome(value, outcome, ended)
+	if outcome == OutcomeAcked {
+		c.ownWrites[subject] = append(c.ownWrites[subject], value)
 		c.run.writeTime.record(ended.Sub(started))
-		c.run.gap.acked(c.service, started, ended)
+		c.run.failoverGap.recordAck(c.service, started, ended)
 	}
 }
 
 const insertSQL = "INSERT INTO readings (subject, value) VALUES ($1, $2)"
 
-// writeOnce sends the write at most once.
-func (c *caller) writeOnce(ctx context.Context, hint, subject, value string) Fate {
+// writeOnce sends the write without retries.
+func (c *caller) writeOnce(ctx context.Context, hint, subject, value string) WriteOutcome {
 	_, err := c.conn.Exec(context.WithoutCancel(ctx), hint+insertSQL, subject, value)
-	return c.fate(err)
+	return c.writeOutcome(err)
 }
 
-// writeKeyed sends the write with an idempotency key until its outcome is
-// known, on whatever host answers.
-func (c *caller) writeKeyed(ctx context.Context, subject, value string) Fate {
+// writeIdempotent sends the write with an idempotency key until its outcome is
+// known or resendTimeout has passed, on any host.
+func (c *caller) writeIdempotent(ctx context.Context, subject, value string) WriteOutcome {
 	key, err := uuid.NewV7()
 	if err != nil {
-		return FateNotRun
+		return OutcomeNotRun
 	}
 	hint := fmt.Sprintf("/* dotterelswitch: key=%s */ ", key)
-	until := time.Now().Add(resendFor)
-	unknown := false
+	deadline := time.Now().Add(resendTimeout)
+	mayHaveRun := false
 	for {
-		fate := FateNotRun
+		outcome := OutcomeNotRun
 		if c.conn != nil || c.connect(context.WithoutCancel(ctx)) {
-			fate = c.writeOnce(ctx, hint, subject, value)
+			outcome = c.writeOnce(ctx, hint, subject, value)
 		}
-		unknown = unknown || fate == FateUnknown
-		if fate == FateAcked || (fate == FateNotRun && !unknown) {
-			return fate
+		mayHaveRun = mayHaveRun || outcome == OutcomeUnknown
+		if outcome == OutcomeAcked || (outcome == OutcomeNotRun && !mayHaveRun) {
+			return outcome
 		}
-		if time.Now().After(until) {
-			return FateUnknown
+		if time.Now().After(deadline) {
+			return OutcomeUnknown
 		}
-		time.Sleep(resendGap)
+		time.Sleep(retryDelay)
 	}
 }
 
-func (c *caller) writeInTransaction(ctx context.Context, subject, value string) Fate {
+func (c *caller) writeInTransaction(ctx context.Context, subject, value string) WriteOutcome {
 	ctx = context.WithoutCancel(ctx)
 	tx, err := c.conn.Begin(ctx)
 	if err != nil {
-		c.fate(err)
-		return FateNotRun
+		c.writeOutcome(err)
+		return OutcomeNotRun
 	}
 	if _, err := tx.Exec(ctx, insertSQL, subject, value); err != nil {
 		_ = tx.Rollback(ctx)
-		if c.fate(err) == FateUnknown {
-			// Without a COMMIT nothing can have been stored.
-			return FateNotRun
+		if c.writeOutcome(err) == OutcomeUnknown {
+			// Nothing is stored without a COMMIT.
+			return OutcomeNotRun
 		}
-		return FateNotRun
+		return OutcomeNotRun
 	}
-	return c.fate(tx.Commit(ctx))
+	return c.writeOutcome(tx.Commit(ctx))
 }
 
-// fate tells from an error what became of a write.
-func (c *caller) fate(err error) Fate {
+// writeOutcome derives the outcome of a write from its error.
+func (c *caller) writeOutcome(err error) WriteOutcome {
 	if err == nil {
-		c.keepToken()
-		return FateAcked
+		c.saveToken()
+		return OutcomeAcked
 	}
-	fate := FateUnknown
+	outcome := OutcomeUnknown
 	var pgErr *pgconn.PgError
 	switch {
 	case errors.As(err, &pgErr):
-		c.run.note(err)
+		c.run.countError(err)
 		if strings.Contains(pgErr.Hint, "ran=no") {
-			fate = FateNotRun
+			outcome = OutcomeNotRun
 		}
 	case pgconn.SafeToRetry(err):
-		fate = FateNotRun
-		c.run.checker.Cut()
+		outcome = OutcomeNotRun
+		c.run.checker.RecordUnanswered()
 	default:
-		c.run.checker.Cut()
+		c.run.checker.RecordUnanswered()
 	}
 	if c.conn != nil {
-		c.broken(err)
+		c.handleError(err)
 	}
-	return fate
+	return outcome
 }
--- a/standin/workload/checker.go
+++ b/standin/workload/checker.go
@@ -6,40 +6,38 @@
 	"time"
 )
 
-// Fate is what a caller was told of a write.
-type Fate uint8
+// WriteOutcome is the outcome of a write as reported to its caller.
+type WriteOutcome uint8
 
-// The fates of a write.
 const (
-	// FateUnknown means that the write may or may not have run.
-	FateUnknown Fate = iota
-	// FateAcked means that it was acknowledged.
-	FateAcked
-	// FateNotRun means that it was refused as not run.
-	FateNotRun
+	// OutcomeUnknown means that the write may or may not have run.
+	OutcomeUnknown WriteOutcome = iota
+	// OutcomeAcked means that the write was acknowledged.
+	OutcomeAcked
+	// OutcomeNotRun means that the write was refused and not run.
+	OutcomeNotRun
 )
 
-// write is one value that a caller tried to store.
+// write is one attempted write.
 type write struct {
-	value string
-	acked time.Time
-	fate  Fate
+	value     string
+	settledAt time.Time
+	outcome   WriteOutcome
 }
 
-// subjectKey names a subject of a service.
 type subjectKey struct{ service, subject string }
 
-// Checker compares answers with what was acknowledged. It is safe for
-// concurrent use.
+// Checker compares query results and stored rows with the recorded outcomes of
+// writes. It is safe for concurrent use.
 type Checker struct {
-	mu       sync.Mutex
-	writes   map[subjectKey][]*write
-	byValue  map[string]*write
-	counts   Violations
-	observed Counts
+	mu         sync.Mutex
+	writes     map[subjectKey][]*write
+	byValue    map[string]*write
+	violations Violations
+	counts     Counts
 }
 
-// Violations counts broken promises.
+// Violations counts violations of the consistency guarantees.
 type Violations struct {
 	WritesLost          int64 `json:"writes_lost"`
 	WritesDoubled       int64 `json:"writes_doubled"`
@@ -49,25 +47,24 @@
 	WrongAnswers        int64 `json:"wrong_answers"`
 }
 
-// Any reports whether any promise was broken.
+// Any reports whether any guarantee was violated.
 func (v Violations) Any() bool { return v != Violations{} }
 
 // Counts counts requests by outcome.
 type Counts struct {
-	WritesAcked   int64 `json:"writes_acked"`
-	WritesUnknown int64 `json:"writes_unknown"`
-	RefusedNotRun int64 `json:"refused_not_run"`
-	Reads         int64 `json:"reads"`
-	CutRequests   int64 `json:"cut_requests"`
+	WritesAcked        int64 `json:"writes_acked"`
+	WritesUnknown      int64 `json:"writes_unknown"`
+	RefusedNotRun      int64 `json:"refused_not_run"`
+	Reads              int64 `json:"reads"`
+	UnansweredRequests int64 `json:"cut_requests"`
 }
 
-// NewChecker returns a checker that has seen nothing.
 func NewChecker() *Checker {
 	return &Checker{writes: make(map[subjectKey][]*write), byValue: make(map[string]*write)}
 }
 
-// Try notes a value before it is sent.
-func (c *Checker) Try(service, subject, value string) {
+// RecordAttempt records a value before it is sent.
+func (c *Checker) RecordAttempt(service, subject, value string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	w := &write{value: value}
@@ -76,69 +73,71 @@
 	c.byValue[value] = w
 }
 
-// Settle notes what the caller was told about a value.
-func (c *Checker) Settle(value string, fate Fate, at time.Time) {
+// RecordOutcome records the outcome of the write of a value.
+func (c *Checker) RecordOutcome(value string, outcome WriteOutcome, settledAt time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	w := c.byValue[value]
-	w.fate, w.acked = fate, at
-	switch fate {
-	case FateAcked:
-		c.observed.WritesAcked++
-	case FateNotRun:
-		c.observed.RefusedNotRun++
+	w.outcome, w.settledAt = outcome, settledAt
+	switch outcome {
+	case OutcomeAcked:
+		c.counts.WritesAcked++
+	case OutcomeNotRun:
+		c.counts.RefusedNotRun++
 	default:
-		c.observed.WritesUnknown++
+		c.counts.WritesUnknown++
 	}
 }
 
-// Cut notes a request whose connection ended without an answer.
-func (c *Checker) Cut() {
+// RecordUnanswered counts a request whose connection ended without an answer.
+func (c *Checker) RecordUnanswered() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.observed.CutRequests++
+	c.counts.UnansweredRequests++
 }
 
-// RefusedRead notes a read that was refused.
-func (c *Checker) RefusedRead() {
+// RecordRefusedRead counts a refused read.
+func (c *Checker) RecordRefusedRead() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.observed.RefusedNotRun++
+	c.counts.RefusedNotRun++
 }
 
 // Read is one answered read.
 type Read struct {
 	Service, Subject string
 	Values           []string
-	// Own are the values that the session itself had acknowledged before.
-	Own       []string
+	// OwnWrites are the acknowledged writes of the same session.
+	OwnWrites []string
 	Started   time.Time
+	// Staleness is the maximum staleness that the read allows.
 	Staleness time.Duration
 }
 
-// CheckRead judges an answer.
+// CheckRead checks an answer for unknown values, missing own writes and excessive
+// staleness.
 func (c *Checker) CheckRead(r Read) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.observed.Reads++
+	c.counts.Reads++
 	got := make(map[string]int, len(r.Values))
 	for _, v := range r.Values {
 		got[v]++
 	}
 	c.checkValues(r, got)
-	if slices.ContainsFunc(r.Own, func(v string) bool { return got[v] == 0 }) {
-		c.counts.RYWViolations++
+	if slices.ContainsFunc(r.OwnWrites, func(v string) bool { return got[v] == 0 }) {
+		c.violations.RYWViolations++
 	}
-	limit := r.Started.Add(-r.Staleness)
+	requiredBefore := r.Started.Add(-r.Staleness)
 	for _, w := range c.writes[subjectKey{r.Service, r.Subject}] {
-		if w.fate == FateAcked && w.acked.Before(limit) && got[w.value] == 0 {
-			c.counts.StalenessViolations++
+		if w.outcome == OutcomeAcked && w.settledAt.Before(requiredBefore) && got[w.value] == 0 {
+			c.violations.StalenessViolations++
 			break
 		}
 	}
 }
 
-// checkValues looks for values of another request or subject, and repeats.
+// checkValues detects values never written to the subject, and duplicates.
 func (c *Checker) checkValues(r Read, got map[string]int) {
 	known := make(map[string]bool)
 	for _, w := range c.writes[subjectKey{r.Service, r.Subject}] {
@@ -146,42 +145,40 @@
 	}
 	for v, n := range got {
 		if !known[v] || n > 1 {
-			c.counts.WrongAnswers++
+			c.violations.WrongAnswers++
 			return
 		}
 	}
 }
 
-// CheckContents judges the rows that the upstreams hold at the end.
+// CheckContents compares the final rows of the upstreams with the recorded writes.
 func (c *Checker) CheckContents(rows []Row) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	held := make(map[string]int, len(rows))
+	stored := make(map[string]int, len(rows))
 	for _, r := range rows {
-		held[r.Value]++
+		stored[r.Value]++
 		if _, known := c.byValue[r.Value]; !known {
-			c.counts.WrongAnswers++
+			c.violations.WrongAnswers++
 		}
 	}
 	for _, w := range c.byValue {
-		n := held[w.value]
+		n := stored[w.value]
 		switch {
 		case n > 1:
-			c.counts.WritesDoubled++
-		case n == 0 && w.fate == FateAcked:
-			c.counts.WritesLost++
-		case n > 0 && w.fate == FateNotRun:
-			c.counts.NotRunButRan++
+			c.violations.WritesDoubled++
+		case n == 0 && w.outcome == OutcomeAcked:
+			c.violations.WritesLost++
+		case n > 0 && w.outcome == OutcomeNotRun:
+			c.violations.NotRunButRan++
 		}
 	}
 }
 
-// Row is one stored value.
 type Row struct{ Subject, Value string }
 
-// Results returns what was counted.
 func (c *Checker) Results() (Violations, Counts) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.counts, c.observed
+	return c.violations, c.counts
 }
--- a/standin/workload/checker_test.go
+++ b/standin/workload/checker_test.go
@@ -15,15 +15,14 @@
 	subject = "s1"
 )
 
-// TestCheckerSeesEachFault seeds one fault of each kind and expects exactly
-// its field to count it.
-func TestCheckerSeesEachFault(t *testing.T) {
+// Guards against a violation that is missed or counted in the wrong field.
+func TestCheckerCountsEachViolation(t *testing.T) {
 	start := time.Now()
-	read := func(values, own []string, bound time.Duration) func(c *workload.Checker) {
+	read := func(values, own []string, maxStaleness time.Duration) func(c *workload.Checker) {
 		return func(c *workload.Checker) {
 			c.CheckRead(workload.Read{
-				Service: service, Subject: subject, Values: values, Own: own,
-				Started: start.Add(10 * time.Second), Staleness: bound,
+				Service: service, Subject: subject, Values: values, OwnWrites: own,
+				Started: start.Add(10 * time.Second), Staleness: maxStaleness,
 			})
 		}
 	}
@@ -37,30 +36,30 @@
 		}
 	}
 	for name, tc := range map[string]struct {
-		fate workload.Fate
-		then func(c *workload.Checker)
-		want workload.Violations
+		outcome workload.WriteOutcome
+		check   func(c *workload.Checker)
+		want    workload.Violations
 	}{
-		"nothing wrong":            {workload.FateAcked, contents("v"), workload.Violations{}},
-		"acknowledged but lost":    {workload.FateAcked, contents(), workload.Violations{WritesLost: 1}},
-		"stored twice":             {workload.FateAcked, contents("v", "v"), workload.Violations{WritesDoubled: 1}},
-		"refused but stored":       {workload.FateNotRun, contents("v"), workload.Violations{NotRunButRan: 1}},
-		"unknown and lost":         {workload.FateUnknown, contents(), workload.Violations{}},
-		"unknown and stored":       {workload.FateUnknown, contents("v"), workload.Violations{}},
-		"unknown and stored twice": {workload.FateUnknown, contents("v", "v"), workload.Violations{WritesDoubled: 1}},
-		"stored by nobody":         {workload.FateAcked, contents("v", "alien"), workload.Violations{WrongAnswers: 1}},
-		"fresh read":               {workload.FateAcked, read([]string{"v"}, []string{"v"}, 0), workload.Violations{}},
-		"own write missing":        {workload.FateAcked, read(nil, []string{"v"}, time.Hour), workload.Violations{RYWViolations: 1}},
-		"older than the bound":     {workload.FateAcked, read(nil, nil, 5*time.Second), workload.Violations{StalenessViolations: 1}},
-		"stale within the bound":   {workload.FateAcked, read(nil, nil, 20*time.Second), workload.Violations{}},
-		"another one's answer":     {workload.FateAcked, read([]string{"v", "alien"}, nil, 0), workload.Violations{WrongAnswers: 1}},
-		"a row twice in an answer": {workload.FateAcked, read([]string{"v", "v"}, nil, 0), workload.Violations{WrongAnswers: 1}},
+		"acknowledged and stored":    {workload.OutcomeAcked, contents("v"), workload.Violations{}},
+		"acknowledged but lost":      {workload.OutcomeAcked, contents(), workload.Violations{WritesLost: 1}},
+		"stored twice":               {workload.OutcomeAcked, contents("v", "v"), workload.Violations{WritesDoubled: 1}},
+		"refused but stored":         {workload.OutcomeNotRun, contents("v"), workload.Violations{NotRunButRan: 1}},
+		"unknown and lost":           {workload.OutcomeUnknown, contents(), workload.Violations{}},
+		"unknown and stored":         {workload.OutcomeUnknown, contents("v"), workload.Violations{}},
+		"unknown and stored twice":   {workload.OutcomeUnknown, contents("v", "v"), workload.Violations{WritesDoubled: 1}},
+		"never written but stored":   {workload.OutcomeAcked, contents("v", "alien"), workload.Violations{WrongAnswers: 1}},
+		"complete read":              {workload.OutcomeAcked, read([]string{"v"}, []string{"v"}, 0), workload.Violations{}},
+		"own write missing":          {workload.OutcomeAcked, read(nil, []string{"v"}, time.Hour), workload.Violations{RYWViolations: 1}},
+		"staler than allowed":        {workload.OutcomeAcked, read(nil, nil, 5*time.Second), workload.Violations{StalenessViolations: 1}},
+		"stale as allowed":           {workload.OutcomeAcked, read(nil, nil, 20*time.Second), workload.Violations{}},
+		"unknown value in an answer": {workload.OutcomeAcked, read([]string{"v", "alien"}, nil, 0), workload.Violations{WrongAnswers: 1}},
+		"duplicate row in an answer": {workload.OutcomeAcked, read([]string{"v", "v"}, nil, 0), workload.Violations{WrongAnswers: 1}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			c := workload.NewChecker()
-			c.Try(service, subject, "v")
-			c.Settle("v", tc.fate, start)
-			tc.then(c)
+			c.RecordAttempt(service, subject, "v")
+			c.RecordOutcome("v", tc.outcome, start)
+			tc.check(c)
 			got, _ := c.Results()
 			require.Equal(t, tc.want, got)
 			require.Equal(t, tc.want != workload.Violations{}, got.Any())
@@ -68,7 +67,7 @@
 	}
 }
 
-func TestSpecsAreComplete(t *testing.T) {
+func TestSpecsAreValid(t *testing.T) {
 	for _, name := range workload.Names() {
 		spec, err := workload.Get(name)
 		require.NoError(t, err)
--- a/standin/workload/contents.go
+++ b/standin/workload/contents.go
@@ -9,7 +9,7 @@
 	"github.com/jackc/pgx/v5/pgconn"
 )
 
-// ContentsError reports that the upstreams could not be read at the end.
+// ContentsError reports that the final contents of an upstream could not be read.
 type ContentsError struct {
 	Address string
 	Err     error
@@ -21,10 +21,10 @@
 
 func (e *ContentsError) Unwrap() error { return e.Err }
 
-// roleReads counts the reads that members executed, by their role then.
+// roleReads counts the reads that members executed, by role at that time.
 type roleReads struct{ replica, primary int64 }
 
-// memberState is what one upstream says of itself.
+// memberState is the state that an upstream reports in group_describe.
 type memberState struct {
 	address string
 	service string
@@ -33,9 +33,9 @@
 	reads   roleReads
 }
 
-// readContents returns the rows of the newest primary of each service and the
-// reads that all members executed. Members that are down are left out, but a
-// service without a primary is an error.
+// readContents returns the rows of each service's primary in the newest term, and
+// the reads that all members executed. Unavailable members are skipped; a service
+// without a primary is an error.
 func readContents(ctx context.Context, services, addresses []string) ([]Row, roleReads, error) {
 	newest := make(map[string]memberState)
 	var reads roleReads
@@ -46,7 +46,7 @@
 		}
 		reads.replica += st.reads.replica
 		reads.primary += st.reads.primary
-		if best, found := newest[st.service]; st.primary && (!found || st.term > best.term) {
+		if current, found := newest[st.service]; st.primary && (!found || st.term > current.term) {
 			newest[st.service] = st
 		}
 	}
@@ -54,13 +54,13 @@
 	for _, service := range services {
 		st, found := newest[service]
 		if !found {
-			return nil, reads, &ContentsError{Address: service, Err: fmt.Errorf("no primary answers")}
+			return nil, reads, &ContentsError{Address: service, Err: fmt.Errorf("no reachable member of the service is a primary")}
 		}
-		part, err := readRows(ctx, st.address)
+		serviceRows, err := readRows(ctx, st.address)
 		if err != nil {
 			return nil, reads, err
 		}
-		rows = append(rows, part...)
+		rows = append(rows, serviceRows...)
 	}
 	return rows, reads, nil
 }
@@ -83,19 +83,19 @@
 	if err != nil {
 		return memberState{}, err
 	}
-	text := make([]string, len(rows[0]))
+	columns := make([]string, len(rows[0]))
 	for i, v := range rows[0] {
-		text[i] = string(v)
+		columns[i] = string(v)
 	}
-	const fields = 5
-	if len(text) != fields {
-		return memberState{}, &ContentsError{Address: address, Err: fmt.Errorf("%d columns", len(text))}
+	const describeColumns = 5
+	if len(columns) != describeColumns {
+		return memberState{}, &ContentsError{Address: address, Err: fmt.Errorf("group_describe returned %d columns, want %d", len(columns), describeColumns)}
 	}
-	term, _ := strconv.ParseUint(text[1], 10, 64)
-	replica, _ := strconv.ParseInt(text[3], 10, 64)
-	primary, _ := strconv.ParseInt(text[4], 10, 64)
+	term, _ := strconv.ParseUint(columns[1], 10, 64)
+	replica, _ := strconv.ParseInt(columns[3], 10, 64)
+	primary, _ := strconv.ParseInt(columns[4], 10, 64)
 	return memberState{
-		address: address, service: text[0], term: term, primary: strings.EqualFold(text[2], "true"),
+		address: address, service: columns[0], term: term, primary: strings.EqualFold(columns[2], "true"),
 		reads: roleReads{replica: replica, primary: primary},
 	}, nil
 }
--- a/standin/workload/deployment.go
+++ b/standin/workload/deployment.go
@@ -10,10 +10,11 @@
 	"github.com/dotterelswitch/dotterelswitch/standin/platform"
 )
 
-// listLag is how far the platform's list of hosts lags.
+// listLag is the delay of changes to the platform's list of hosts.
 const listLag = 2 * time.Second
 
-// Deployment is a workload's stand-ins, running on loopback.
+// Deployment holds the simulated database groups, platform and network of a
+// workload.
 type Deployment struct {
 	Spec     Spec
 	Network  *netem.Network
@@ -21,7 +22,8 @@
 	Groups   []*dbgroup.Group
 }
 
-// Deploy starts the groups and the platform of a workload.
+// Deploy starts the database groups and the platform of a workload on loopback
+// addresses.
 func Deploy(s Spec) (*Deployment, error) {
 	regions := make(map[string]string)
 	for _, z := range s.Zones {
@@ -40,26 +42,26 @@
 		}
 		d.Groups = append(d.Groups, g)
 		for _, m := range g.Members() {
-			d.Network.Place(m.Addr(), m.Zone())
+			d.Network.SetZone(m.Addr(), m.Zone())
 		}
 	}
 	return d, nil
 }
 
-// memberConfigs spreads a group over the zones; the first member, which starts
-// as primary, is in another zone for each group.
-func (d *Deployment) memberConfigs(service string, shift int) []dbgroup.MemberConfig {
+// memberConfigs places one member of a group in each zone. The first member,
+// which starts as primary, is in the zone at zoneOffset.
+func (d *Deployment) memberConfigs(service string, zoneOffset int) []dbgroup.MemberConfig {
 	var out []dbgroup.MemberConfig
-	for j := range d.Spec.Zones {
+	for i := range d.Spec.Zones {
 		cfg := d.Spec.Member
-		cfg.Zone = d.Spec.Zone(shift + j)
-		cfg.Name = fmt.Sprintf("%s-%c", service, 'a'+j)
+		cfg.Zone = d.Spec.Zone(zoneOffset + i)
+		cfg.Name = fmt.Sprintf("%s-%c", service, 'a'+i)
 		out = append(out, cfg)
 	}
 	return out
 }
 
-// Items returns the configuration items that describe the deployment.
+// Items returns the configuration of the deployment.
 func (d *Deployment) Items() conf.Items {
 	c := conf.Items{Zones: d.Spec.Zones}
 	for _, g := range d.Groups {
@@ -81,7 +83,7 @@
 	return c
 }
 
-// UpstreamAddresses returns the members' addresses, by service.
+// UpstreamAddresses returns the addresses of all members, in service order.
 func (d *Deployment) UpstreamAddresses() []string {
 	var out []string
 	for _, g := range d.Groups {
@@ -92,19 +94,19 @@
 	return out
 }
 
-// SlotBreaches returns how often any member got more statements than slots.
+// SlotBreaches returns the number of statements that reached a member while all
+// its slots were in use.
 func (d *Deployment) SlotBreaches() int64 {
 	var n int64
 	for _, g := range d.Groups {
 		for _, m := range g.Members() {
-			n += m.Breaches()
+			n += m.SlotBreaches()
 		}
 	}
 	return n
 }
 
-// ConnectionsRefused returns how often any member refused a connection over
-// its limit.
+// ConnectionsRefused returns the number of connections that members refused.
 func (d *Deployment) ConnectionsRefused() int {
 	n := 0
 	for _, g := range d.Groups {
@@ -116,7 +118,7 @@
 	return n
 }
 
-// Close stops everything.
+// Close stops the groups and the platform.
 func (d *Deployment) Close() {
 	for _, g := range d.Groups {
 		g.Close()
--- a/standin/workload/latencies.go
+++ b/standin/workload/latencies.go
@@ -7,32 +7,31 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// The histograms span 1 µs to 100 s with three significant digits.
+// Range and precision of the histograms.
 const (
-	lowestMicros  = 1
-	highestMicros = 100_000_000
-	digits        = 3
+	minMicros         = 1
+	maxMicros         = 100_000_000
+	significantDigits = 3
 )
 
-// latencies is a histogram that is safe for concurrent use.
+// latencies is a latency histogram that is safe for concurrent use.
 type latencies struct {
-	mu sync.Mutex
-	h  *hdrhistogram.Histogram
+	mu        sync.Mutex
+	histogram *hdrhistogram.Histogram
 }
 
 func newLatencies() *latencies {
-	return &latencies{h: hdrhistogram.New(lowestMicros, highestMicros, digits)}
+	return &latencies{histogram: hdrhistogram.New(minMicros, maxMicros, significantDigits)}
 }
 
 func (l *latencies) record(d time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	_ = l.h.RecordValue(min(max(d.Microseconds(), lowestMicros), highestMicros))
+	_ = l.histogram.RecordValue(min(max(d.Microseconds(), minMicros), maxMicros))
 }
 
-// milliseconds returns a quantile, given in percent.
-func (l *latencies) milliseconds(quantile float64) float64 {
+func (l *latencies) percentileMS(percentile float64) float64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return float64(l.h.ValueAtQuantile(quantile)) / 1000
+	return float64(l.histogram.ValueAtQuantile(percentile)) / 1000
 }
--- a/standin/workload/report.go
+++ b/standin/workload/report.go
@@ -4,7 +4,7 @@
 	"time"
 )
 
-// Report is the result of a load.
+// Report is the result of a load run.
 type Report struct {
 	Workload string `json:"workload"`
 	Fault    string `json:"fault"`
@@ -13,7 +13,7 @@
 	Counts
 	Violations
 	ReplicaReadShare float64 `json:"replica_read_share"`
-	// FailoverGapMS is nil where no primary failed.
+	// FailoverGapMS is nil if no primary failed.
 	FailoverGapMS *float64 `json:"failover_gap_ms"`
 	ReadP50MS     float64  `json:"read_p50_ms"`
 	ReadP99MS     float64  `json:"read_p99_ms"`
@@ -21,7 +21,7 @@
 	WriteP99MS    float64  `json:"write_p99_ms"`
 	RequestsPerS  float64  `json:"requests_per_s"`
 	SlotBreaches  int64    `json:"slot_breaches"`
-	// ConnectionsRefused counts connections over a member's limit.
+	// ConnectionsRefused counts the connections that members refused.
 	ConnectionsRefused int            `json:"connections_refused"`
 	Promotions         int            `json:"promotions"`
 	Restarts           int            `json:"restarts"`
@@ -34,14 +34,14 @@
 	r := &Report{
 		Workload: l.opts.Spec.Name, Hosts: len(l.opts.Entries), Seed: l.opts.Seed, Fault: "none",
 		Counts: counts, Violations: violations,
-		ReadP50MS: l.run.readTime.milliseconds(50), ReadP99MS: l.run.readTime.milliseconds(99),
-		WriteP50MS: l.run.writeTime.milliseconds(50), WriteP99MS: l.run.writeTime.milliseconds(99),
+		ReadP50MS: l.run.readTime.percentileMS(50), ReadP99MS: l.run.readTime.percentileMS(99),
+		WriteP50MS: l.run.writeTime.percentileMS(50), WriteP99MS: l.run.writeTime.percentileMS(99),
 		RequestsPerS: float64(counts.Reads+counts.WritesAcked) / l.opts.Duration.Seconds(),
 	}
 	if total := reads.replica + reads.primary; total > 0 {
 		r.ReplicaReadShare = float64(reads.replica) / float64(total)
 	}
-	if gap, failed := l.run.gap.worst(time.Now()); failed {
+	if gap, failed := l.run.failoverGap.longest(time.Now()); failed {
 		ms := float64(gap.Microseconds()) / 1000
 		r.FailoverGapMS = &ms
 	}
--- a/standin/workload/run.go
+++ b/standin/workload/run.go
@@ -8,39 +8,38 @@
 	"time"
 )
 
-// Entry is one address for callers.
+// Entry is an address that callers connect to.
 type Entry struct {
 	Address string
-	// Dial opens connections; nil means the system's network.
+	// Dial opens connections; nil selects the default dialer.
 	Dial func(ctx context.Context, network, addr string) (net.Conn, error)
 }
 
-// Options describe a load.
 type Options struct {
 	Spec     Spec
 	Entries  []Entry
 	Callers  int
 	Duration time.Duration
 	Seed     uint64
-	// Upstreams are the members' addresses, for the check of their contents.
+	// Upstreams are the addresses of the members whose contents are checked.
 	Upstreams []string
 }
 
-// run is a load in progress.
+// run is the state that the callers of a load share.
 type run struct {
-	spec      Spec
-	entries   []Entry
-	checker   *Checker
-	readTime  *latencies
-	writeTime *latencies
-	gap       *gapMeter
+	spec        Spec
+	entries     []Entry
+	checker     *Checker
+	readTime    *latencies
+	writeTime   *latencies
+	failoverGap *failoverGapMeter
 
 	mu     sync.Mutex
 	errors map[string]int
 }
 
-// note counts an error by its text, for the report.
-func (r *run) note(err error) {
+// countError counts an error by its text.
+func (r *run) countError(err error) {
 	const maxKinds = 200
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -49,31 +48,31 @@
 	}
 }
 
-// Load is a running load.
+// Load is a load in progress.
 type Load struct {
 	opts Options
 	run  *run
 	done chan struct{}
 }
 
-// Start begins a load. It ends after its duration or with the context.
+// Start starts a load, which ends after opts.Duration or with the context.
 func Start(ctx context.Context, opts Options) *Load {
 	l := &Load{opts: opts, done: make(chan struct{}), run: &run{
 		spec: opts.Spec, entries: opts.Entries, checker: NewChecker(),
 		readTime: newLatencies(), writeTime: newLatencies(),
-		gap: newGapMeter(), errors: make(map[string]int),
+		failoverGap: newFailoverGapMeter(), errors: make(map[string]int),
 	}}
 	ctx, cancel := context.WithTimeout(ctx, opts.Duration)
 	var wg sync.WaitGroup
 	services := opts.Spec.ServiceNames()
 	for i := range opts.Callers {
 		c := &caller{
-			run: l.run, id: i, entry: i, own: make(map[string][]string),
+			run: l.run, id: i, entryIndex: i, ownWrites: make(map[string][]string),
 			rng:     rand.New(rand.NewPCG(opts.Seed, uint64(i))),
 			service: services[i%len(services)],
 			team:    opts.Spec.Teams[i%len(opts.Spec.Teams)],
 		}
-		wg.Go(func() { c.loop(ctx) })
+		wg.Go(func() { c.sendRequests(ctx) })
 	}
 	go func() {
 		wg.Wait()
@@ -83,13 +82,16 @@
 	return l
 }
 
-// Fault tells the load that a service's primary failed now.
-func (l *Load) Fault(service string) { l.run.gap.fault(service, time.Now()) }
+// RecordPrimaryFailure records that a service's primary has failed now.
+func (l *Load) RecordPrimaryFailure(service string) {
+	l.run.failoverGap.recordFailure(service, time.Now())
+}
 
 // Progress returns the counts so far.
 func (l *Load) Progress() (Violations, Counts) { return l.run.checker.Results() }
 
-// Wait waits for the end of the load and checks the upstreams' contents.
+// Wait waits for the end of the load, checks the contents of the upstreams and
+// returns the report.
 func (l *Load) Wait(ctx context.Context) (*Report, error) {
 	<-l.done
 	rows, reads, err := readContents(ctx, l.opts.Spec.ServiceNames(), l.opts.Upstreams)
--- a/standin/workload/spec.go
+++ b/standin/workload/spec.go
@@ -1,5 +1,5 @@
-// Package workload describes the two users' deployments and drives them: it
-// generates load through a PostgreSQL client library and checks every answer.
+// Package workload defines two example deployments, generates load on them through
+// a PostgreSQL client library and checks every answer.
 package workload
 
 import (
@@ -11,7 +11,7 @@
 	"github.com/dotterelswitch/dotterelswitch/standin/netem"
 )
 
-// Spec is one user's deployment and traffic.
+// Spec describes a deployment and its traffic.
 type Spec struct {
 	Name    string
 	Zones   []conf.Zone
@@ -22,30 +22,29 @@
 	ServiceName string
 	Member      dbgroup.MemberConfig
 	Classes     []ClassShare
-	// WriteShare is the part of requests that write.
+	// WriteShare is the fraction of requests that write.
 	WriteShare float64
 	Teams      []string
-	// Think is a caller's mean pause between requests.
-	Think time.Duration
+	// ThinkTime is the mean pause of a caller between requests.
+	ThinkTime time.Duration
 }
 
-// ClassShare is a request class and its part of the reads.
+// ClassShare is a request class and its fraction of the reads.
 type ClassShare struct {
 	conf.Class
 	Share float64
 }
 
-// Names lists the workloads.
+// Names returns the names of the workloads.
 func Names() []string { return []string{"archive", "consortium"} }
 
-// UnknownError reports a workload that does not exist.
+// UnknownError reports an unknown workload name.
 type UnknownError struct{ Name string }
 
 func (e *UnknownError) Error() string {
 	return fmt.Sprintf("workload %q is not known; allowed are %v", e.Name, Names())
 }
 
-// Get returns a workload by name.
 func Get(name string) (Spec, error) {
 	switch name {
 	case "archive":
@@ -64,7 +63,7 @@
 			{Name: "calgary-hall", Region: "alta"},
 			{Name: "winnipeg-hall", Region: "mani"},
 		},
-		Latency:     netem.Latency{InZone: 50 * time.Microsecond, InterAZ: 500 * time.Microsecond, Region: 10 * time.Millisecond},
+		Latency:     netem.Latency{InZone: 50 * time.Microsecond, InterAZ: 500 * time.Microsecond, InterRegion: 10 * time.Millisecond},
 		CallerDelay: 3 * time.Millisecond,
 		Services:    3, ServiceName: "vsarchive",
 		Member: dbgroup.MemberConfig{
@@ -78,7 +77,7 @@
 		},
 		WriteShare: 0.08,
 		Teams:      []string{"observers", "schools", "colleges", "researchers"},
-		Think:      40 * time.Millisecond,
+		ThinkTime:  40 * time.Millisecond,
 	}
 }
 
@@ -90,7 +89,7 @@
 			{Name: "mtl-anjou", Region: "mtl"},
 			{Name: "estrie-sherb", Region: "estrie"},
 		},
-		Latency:     netem.Latency{InZone: 50 * time.Microsecond, InterAZ: time.Millisecond, Region: 20 * time.Millisecond},
+		Latency:     netem.Latency{InZone: 50 * time.Microsecond, InterAZ: time.Millisecond, InterRegion: 20 * time.Millisecond},
 		CallerDelay: time.Millisecond,
 		Services:    3, ServiceName: "agenda-db",
 		Member: dbgroup.MemberConfig{
@@ -104,7 +103,7 @@
 		},
 		WriteShare: 0.30,
 		Teams:      []string{"levis", "vieux-port", "outremont", "magog", "rosemont"},
-		Think:      40 * time.Millisecond,
+		ThinkTime:  40 * time.Millisecond,
 	}
 }
 
@@ -117,5 +116,5 @@
 	return names
 }
 
-// Zone returns the zone of the i-th host, host by host in turn.
+// Zone returns the zone of the i-th host; hosts are assigned round-robin.
 func (s Spec) Zone(i int) string { return s.Zones[i%len(s.Zones)].Name }
