--- a/node/cmd/dotterelctl/apply.go
+++ b/node/cmd/dotterelctl/apply.go
@@ -21,14 +21,14 @@
 	"github.com/dotterelswitch/dotterelswitch/node/settings"
 )
 
-// changeFlags are common to the commands that change the configuration.
+// changeFlags returns the flags of the commands that change the configuration.
 func changeFlags() []cli.Flag {
 	return []cli.Flag{
 		&cli.StringFlag{Name: "platform", Value: "127.0.0.1:8500", Usage: "address of the platform's key-value service", Sources: cli.EnvVars(settings.EnvName("platform"))},
-		&cli.StringFlag{Name: "change-id", Usage: "name of this change; submitting it again is safe (default: a new UUID)"},
-		&cli.StringSliceFlag{Name: "host", Usage: "peer address of a host to tell of the change directly, in case the platform fails; may be given several times"},
+		&cli.StringFlag{Name: "change-id", Usage: "id of this change; submitting the same id again is safe (default: a new UUID)"},
+		&cli.StringSliceFlag{Name: "host", Usage: "peer address of a host to send the change to directly, in case the platform is unavailable; may be given several times"},
 		&cli.StringFlag{Name: "peer-key", Usage: "secret that hosts and operators share", Sources: cli.EnvVars(settings.EnvName("peer-key"))},
-		&cli.BoolFlag{Name: "dry-run", Usage: "show the difference and change nothing"},
+		&cli.BoolFlag{Name: "dry-run", Usage: "show the changes without submitting them"},
 		outputFlag(),
 	}
 }
@@ -36,8 +36,8 @@
 func applyCommand() *cli.Command {
 	return &cli.Command{
 		Name:   "apply",
-		Usage:  "make the declarations of files the configuration, whole or not at all",
-		Flags:  append([]cli.Flag{&cli.StringSliceFlag{Name: "file", Aliases: []string{"f"}, Usage: "file of declarations; may be given several times", Required: true}}, changeFlags()...),
+		Usage:  "apply the declarations in files to the configuration as one atomic change",
+		Flags:  append([]cli.Flag{&cli.StringSliceFlag{Name: "file", Aliases: []string{"f"}, Usage: "file with declarations; may be given several times", Required: true}}, changeFlags()...),
 		Action: runApply,
 	}
 }
@@ -45,7 +45,7 @@
 func execCommand() *cli.Command {
 	return &cli.Command{
 		Name:      "exec",
-		Usage:     "run statements given as arguments",
+		Usage:     "apply the declarations given as arguments",
 		ArgsUsage: "STATEMENT…",
 		Flags:     changeFlags(),
 		Action:    runExec,
@@ -68,7 +68,7 @@
 		}
 		program.Append(part)
 	}
-	return change(ctx, c, program)
+	return applyProgram(ctx, c, program)
 }
 
 func runExec(ctx context.Context, c *cli.Command) error {
@@ -80,19 +80,20 @@
 	if err != nil {
 		return &exit.UsageError{Text: err.Error()}
 	}
-	return change(ctx, c, program)
+	return applyProgram(ctx, c, program)
 }
 
-// outcomeReport is what a change did.
-type outcomeReport struct {
+// changeReport is the output of a command that changes the configuration.
+type changeReport struct {
 	Version  uint64            `json:"version"`
 	ChangeID string            `json:"change_id"`
 	DryRun   bool              `json:"dry_run"`
 	Changes  []conf.Difference `json:"changes"`
 }
 
-// change checks a program against the present configuration and submits it.
-func change(ctx context.Context, c *cli.Command, p *lang.Program) error {
+// applyProgram submits a program as a change of the current configuration, or only
+// validates it in a dry run.
+func applyProgram(ctx context.Context, c *cli.Command, p *lang.Program) error {
 	if err := errors.Join(checkOutput(c.String("output")), checkAddresses("platform", []string{c.String("platform")}), checkAddresses("host", c.StringSlice("host"))); err != nil {
 		return err
 	}
@@ -101,12 +102,12 @@
 	if err != nil {
 		return err
 	}
-	report := outcomeReport{Version: cfg.Version, ChangeID: c.String("change-id"), DryRun: c.Bool("dry-run"), Changes: cfg.Diff(p.Put, p.Delete)}
+	report := changeReport{Version: cfg.Version, ChangeID: c.String("change-id"), DryRun: c.Bool("dry-run"), Changes: cfg.Diff(p.Put, p.Delete)}
 	if report.ChangeID == "" {
 		report.ChangeID = uuid.NewString()
 	}
 	if report.DryRun {
-		err = check(cfg, p)
+		err = validateChange(cfg, p)
 	} else {
 		report.Version, err = submit(ctx, c, store, report.ChangeID, p)
 	}
@@ -120,7 +121,8 @@
 	return printOutcome(c.String("output"), report)
 }
 
-// submit has a program accepted and tells the named hosts.
+// submit commits a program to the store and offers the change to the hosts in the
+// --host flags. It returns the new version.
 func submit(ctx context.Context, c *cli.Command, store *confstore.Store, id string, p *lang.Program) (uint64, error) {
 	ch, err := store.Submit(ctx, id, func(*conf.Config) (conf.Items, conf.Names, error) {
 		return p.Put, p.Delete, nil
@@ -134,17 +136,17 @@
 	}
 	peers := peer.NewClient((&net.Dialer{}).DialContext, c.String("peer-key"))
 	for _, address := range c.StringSlice("host") {
-		// The change is accepted either way; a host that cannot be told hears
-		// of it from the platform or its peers.
+		// The change is committed either way; a host that is not reached receives
+		// it from the platform or its peers.
 		if _, err := peers.OfferChange(ctx, address, data); err != nil {
-			fmt.Fprintln(os.Stderr, "dotterelctl: the change is accepted, but a host could not be told:", err)
+			fmt.Fprintln(os.Stderr, "dotterelctl: the change is accepted, but a host could not be notified:", err)
 		}
 	}
 	return ch.Version, nil
 }
 
-// check validates the configuration as it would be after the program.
-func check(cfg *conf.Config, p *lang.Program) error {
+// validateChange validates the configuration that would result from the program.
+func validateChange(cfg *conf.Config, p *lang.Program) error {
 	after, err := cfg.Apply(conf.Change{Version: cfg.Version + 1, Put: p.Put, Delete: p.Delete})
 	if err != nil {
 		return err
@@ -152,7 +154,7 @@
 	return after.Validate()
 }
 
-func printOutcome(output string, r outcomeReport) error {
+func printOutcome(output string, r changeReport) error {
 	if output == "json" {
 		return json.NewEncoder(os.Stdout).Encode(r)
 	}
--- a/node/cmd/dotterelctl/credential.go
+++ b/node/cmd/dotterelctl/credential.go
@@ -15,8 +15,8 @@
 	"github.com/dotterelswitch/dotterelswitch/node/exit"
 )
 
-// credentialCommand prints what declarations hold of a key. The key comes on
-// standard input, as arguments are seen by other users of the machine.
+// credentialCommand prints the digest of a key for use in declarations. The key is
+// read from standard input, since arguments are visible to other users.
 func credentialCommand() *cli.Command {
 	return &cli.Command{
 		Name:  "credential",
@@ -28,7 +28,7 @@
 			}
 			key := strings.TrimRight(line, "\r\n")
 			if key == "" {
-				return &exit.UsageError{Text: "there is no key on standard input"}
+				return &exit.UsageError{Text: "no key on standard input"}
 			}
 			fmt.Println(catalog.NewCredential(key))
 			return nil
--- a/node/cmd/dotterelctl/demo.go
+++ b/node/cmd/dotterelctl/demo.go
@@ -17,13 +17,13 @@
 	"github.com/dotterelswitch/dotterelswitch/standin/workload"
 )
 
-// errBroken reports a run in which a promise was broken.
-var errBroken = errors.New("at least one invariant was broken")
+// errInvariantBroken reports a run that violated an invariant.
+var errInvariantBroken = errors.New("at least one invariant was broken")
 
 func demoCommand() *cli.Command {
 	return &cli.Command{
 		Name:  "demo",
-		Usage: "run stand-ins, hosts and load in one process, with a fault",
+		Usage: "run stand-ins, hosts and load in one process, with optional faults",
 		Flags: []cli.Flag{
 			&cli.StringFlag{Name: "edge", Value: "postgres", Usage: "postgres, or platform for the users' platform with the line protocol (faults: none, primary-crash, drain-primary, store-outage, store-restore, host-stop, key-revoked, limit-lowered)"},
 			workloadFlag(),
@@ -114,7 +114,7 @@
 	return nil
 }
 
-// printReport prints a report and fails if it shows a broken promise.
+// printReport prints a report and returns errInvariantBroken if it has violations.
 func printReport(output string, r *workload.Report) error {
 	if output == "json" {
 		if err := json.NewEncoder(os.Stdout).Encode(r); err != nil {
@@ -124,7 +124,7 @@
 		demo.WriteText(os.Stdout, r)
 	}
 	if r.Violations.Any() {
-		return errBroken
+		return errInvariantBroken
 	}
 	return nil
 }
--- a/node/cmd/dotterelctl/explain.go
+++ b/node/cmd/dotterelctl/explain.go
@@ -17,7 +17,7 @@
 func explainCommand() *cli.Command {
 	return &cli.Command{
 		Name:      "explain",
-		Usage:     "tell from the hosts' logs why a request ended as it did",
+		Usage:     "explain the result of a request from the hosts' logs",
 		ArgsUsage: "REQUEST LOG... | --all LOG...",
 		Flags:     []cli.Flag{&cli.BoolFlag{Name: "all", Usage: "count all failed requests by their cause instead"}},
 		Action: func(_ context.Context, c *cli.Command) error {
@@ -25,14 +25,14 @@
 				return runSummary(c.Args().Slice())
 			}
 			if c.Args().Len() < 2 {
-				return &exit.UsageError{Text: "explain takes the id of a request and one log or more"}
+				return &exit.UsageError{Text: "explain takes a request id and at least one log file"}
 			}
 			return runExplain(c.Args().First(), c.Args().Tail())
 		},
 	}
 }
 
-// maxLogLine is the longest line of a log that is read.
+// maxLogLine is the size limit of a log line, in bytes.
 const maxLogLine = 1 << 20
 
 func runExplain(request string, files []string) error {
@@ -40,22 +40,22 @@
 	if err != nil {
 		return err
 	}
-	story, found := explain.Tell(lines, request)
+	explanation, found := explain.ExplainRequest(lines, request)
 	if !found {
-		return fmt.Errorf("no line names the request %s; it may have been left out (see left_out), or never have reached a host", request)
+		return fmt.Errorf("no log line names the request %s; its line may have been suppressed (see left_out), or the request never reached a host", request)
 	}
-	for _, l := range story.Lines {
+	for _, l := range explanation.Lines {
 		fmt.Println(l.Text)
 	}
 	fmt.Println()
-	fmt.Println(story.Verdict)
+	fmt.Println(explanation.Conclusion)
 	return nil
 }
 
 // runSummary counts the failed requests of all logs by cause.
 func runSummary(files []string) error {
 	if len(files) == 0 {
-		return &exit.UsageError{Text: "explain --all takes one log or more"}
+		return &exit.UsageError{Text: "explain --all takes at least one log file"}
 	}
 	lines, err := readLogs(files)
 	if err != nil {
@@ -84,7 +84,7 @@
 	return lines, nil
 }
 
-// readLog reads the lines of a log that can be parsed.
+// readLog reads a log and returns the lines that parse accepts.
 func readLog[L any](name string, parse func(string) (L, bool)) ([]L, error) {
 	f, err := os.Open(name)
 	if err != nil {
--- a/node/cmd/dotterelctl/load.go
+++ b/node/cmd/dotterelctl/load.go
@@ -18,11 +18,11 @@
 func loadCommand() *cli.Command {
 	return &cli.Command{
 		Name:  "load",
-		Usage: "drive hosts that run elsewhere and check every answer",
+		Usage: "generate load on running hosts and check every answer",
 		Flags: []cli.Flag{
 			workloadFlag(),
 			&cli.StringSliceFlag{Name: "entry", Usage: "address of a host for callers; may be given several times", Required: true},
-			&cli.StringSliceFlag{Name: "upstream", Usage: "address of a stand-in member, for the check of its contents; may be given several times", Required: true},
+			&cli.StringSliceFlag{Name: "upstream", Usage: "address of a stand-in member whose contents are checked; may be given several times", Required: true},
 			&cli.IntFlag{Name: "callers", Value: 48, Usage: "client sessions, 1 to 5000"},
 			&cli.DurationFlag{Name: "duration", Value: 20 * time.Second, Usage: "length of the load, 1s to 24h"},
 			&cli.Uint64Flag{Name: "seed", Value: 1, Usage: "seed of the load"},
@@ -61,7 +61,7 @@
 	for _, a := range addresses {
 		host, _, err := net.SplitHostPort(a)
 		if err != nil || net.ParseIP(host) == nil {
-			return &exit.UsageError{Text: fmt.Sprintf("--%s is %q; allowed is an IP number and a port", flag, a)}
+			return &exit.UsageError{Text: fmt.Sprintf("--%s is %q; allowed is an IP address and a port", flag, a)}
 		}
 	}
 	return nil
@@ -79,8 +79,7 @@
 	}
 }
 
-// printCalls reports how often the platform was called.
-func printCalls(dep *workload.Deployment) {
+func printPlatformCalls(dep *workload.Deployment) {
 	all, writes := dep.Platform.Calls()
 	fmt.Fprintf(os.Stderr, "platform calls: %d, of them writes: %d\n", all, writes)
 }
@@ -102,7 +101,7 @@
 	if err := demo.Publish(ctx, dep.Platform.Addr(), dep.Items()); err != nil {
 		return err
 	}
-	defer printCalls(dep)
+	defer printPlatformCalls(dep)
 	fmt.Printf("DOTTERELSWITCH_PLATFORM=%s\n", dep.Platform.Addr())
 	for _, z := range spec.Zones {
 		fmt.Printf("# availability zone %s in region %s\n", z.Name, z.Region)
@@ -112,6 +111,6 @@
 	}
 	fmt.Println("ready")
 	<-ctx.Done()
-	fmt.Fprintln(os.Stderr, "stand-ins stop")
+	fmt.Fprintln(os.Stderr, "stopping the stand-ins")
 	return nil
 }
--- a/node/cmd/dotterelctl/main.go
+++ b/node/cmd/dotterelctl/main.go
@@ -1,4 +1,4 @@
-// Command dotterelctl is the operators' command line.
+// Command dotterelctl is the command-line tool for operators.
 package main
 
 import (
--- a/node/cmd/dotterelctl/measure.go
+++ b/node/cmd/dotterelctl/measure.go
@@ -17,20 +17,20 @@
 func measureCommand() *cli.Command {
 	return &cli.Command{
 		Name:      "measure",
-		Usage:     "tell from the hosts' logs how long writes were unavailable, where reads were served and what control sent",
+		Usage:     "report write unavailability, read routing and control traffic from the hosts' logs",
 		ArgsUsage: "LOG...",
 		Flags:     []cli.Flag{&cli.StringFlag{Name: "output", Value: "text", Usage: "text or json"}},
 		Action: func(_ context.Context, c *cli.Command) error {
 			if c.Args().Len() == 0 {
-				return &exit.UsageError{Text: "measure takes one log or more"}
+				return &exit.UsageError{Text: "measure takes at least one log file"}
 			}
 			return runMeasure(c.Args().Slice(), c.String("output"))
 		},
 	}
 }
 
-// measures is what the command prints.
-type measures struct {
+// measureReport is the output of the measure command.
+type measureReport struct {
 	Losses []measure.Loss
 	Reads  []measure.Reads
 	Talk   []measure.Talk
@@ -45,7 +45,7 @@
 		}
 		lines = append(lines, read...)
 	}
-	m := measures{Losses: measure.Losses(lines), Reads: measure.CountReads(lines), Talk: measure.CountTalk(lines)}
+	m := measureReport{Losses: measure.Losses(lines), Reads: measure.CountReads(lines), Talk: measure.CountTalk(lines)}
 	switch output {
 	case "json":
 		return json.NewEncoder(os.Stdout).Encode(m)
@@ -55,12 +55,12 @@
 	return &exit.UsageError{Text: "--output must be text or json"}
 }
 
-func (m measures) print() error {
+func (m measureReport) print() error {
 	w := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', 0)
 	rows := []string{"SERVICE\tLOST\tNEXT\tBELIEVED\tAGREED\tORDERED\tLEADS\tKNOWN HALF\tKNOWN ALL\tFIRST WRITE\tLIVED"}
 	for _, l := range m.Losses {
 		rows = append(rows, fmt.Sprintf("%s\t%s\t%s\t%s\t%s\t%s\t%s\t%s\t%s\t%s\t%t", l.Service, l.Lost, l.Next,
-			inMS(l.Believed), inMS(l.Agreed), inMS(l.Ordered), inMS(l.Leads), inMS(l.KnownHalf), inMS(l.KnownAll), inMS(l.FirstWrite), l.Living))
+			formatMilliseconds(l.Believed), formatMilliseconds(l.Agreed), formatMilliseconds(l.Ordered), formatMilliseconds(l.Leads), formatMilliseconds(l.KnownHalf), formatMilliseconds(l.KnownAll), formatMilliseconds(l.FirstWrite), l.Living))
 	}
 	rows = append(rows, "", "READS\tTOTAL\tREPLICAS\tBY ROUTE\tNO FLOOR\tBEHIND\tDOUBT\tSOONER")
 	for _, r := range m.Reads {
@@ -78,8 +78,8 @@
 	return w.Flush()
 }
 
-// inMS writes a time in milliseconds, and nothing for one that is not known.
-func inMS(d time.Duration) string {
+// formatMilliseconds formats a duration in milliseconds, or "-" if it is unknown.
+func formatMilliseconds(d time.Duration) string {
 	if d == 0 {
 		return "-"
 	}
--- a/node/cmd/dotterelctl/platform_demo.go
+++ b/node/cmd/dotterelctl/platform_demo.go
@@ -15,7 +15,7 @@
 	"github.com/dotterelswitch/dotterelswitch/node/platformdemo"
 )
 
-// runPlatformDemo runs hosts against the stand-in of the users' platform.
+// runPlatformDemo runs the demo with the users' platform in place of PostgreSQL.
 func runPlatformDemo(ctx context.Context, c *cli.Command) error {
 	level, err := zerolog.ParseLevel(c.String("log-level"))
 	if err != nil {
@@ -48,7 +48,7 @@
 		report.WriteText(os.Stdout)
 	}
 	if report.Broken() {
-		return errBroken
+		return errInvariantBroken
 	}
 	return nil
 }
--- a/node/cmd/dotterelctl/show.go
+++ b/node/cmd/dotterelctl/show.go
@@ -12,17 +12,17 @@
 	"github.com/dotterelswitch/dotterelswitch/node/inspect"
 )
 
-// showTimeout bounds the question to one host: operators wait for it.
+// showTimeout is the timeout of the request to one host.
 const showTimeout = 5 * time.Second
 
 func showCommand() *cli.Command {
 	return &cli.Command{
 		Name:      "show",
-		Usage:     "show what a running host on the users' platform holds and believes",
+		Usage:     "show the state of a running host on the users' platform",
 		ArgsUsage: "METRICS-ADDRESS...",
 		Action: func(ctx context.Context, c *cli.Command) error {
 			if c.Args().Len() == 0 {
-				return &exit.UsageError{Text: "show takes the metrics address of one host or more"}
+				return &exit.UsageError{Text: "show takes the metrics address of at least one host"}
 			}
 			for _, address := range c.Args().Slice() {
 				if err := show(ctx, address); err != nil {
@@ -41,5 +41,5 @@
 	if err != nil {
 		return err
 	}
-	return inspect.Write(os.Stdout, s)
+	return inspect.WriteText(os.Stdout, s)
 }
--- a/node/cmd/dotterelctl/soak.go
+++ b/node/cmd/dotterelctl/soak.go
@@ -18,7 +18,7 @@
 func soakCommand() *cli.Command {
 	return &cli.Command{
 		Name:  "soak",
-		Usage: "run hosts as processes on this machine, harm them, and check the promises to callers",
+		Usage: "run hosts as processes on this machine, inject faults and check the guarantees to callers",
 		Flags: []cli.Flag{
 			&cli.StringFlag{Name: "program", Usage: "path of the dotterelswitch binary", Required: true},
 			&cli.Uint64Flag{Name: "seed", Usage: "first seed", Value: 1},
@@ -26,8 +26,8 @@
 			&cli.IntFlag{Name: "hosts", Usage: "host processes", Value: 6},
 			&cli.IntFlag{Name: "callers", Usage: "callers", Value: 24},
 			&cli.IntFlag{Name: "groups", Usage: "database groups of three members", Value: 2},
-			&cli.DurationFlag{Name: "duration", Usage: "how long faults come in each run", Value: 20 * time.Second},
-			&cli.StringFlag{Name: "dir", Usage: "where settings and logs go; a failed run's stay", Value: filepath.Join(os.TempDir(), "dotterelswitch-soak")},
+			&cli.DurationFlag{Name: "duration", Usage: "how long faults are injected in each run", Value: 20 * time.Second},
+			&cli.StringFlag{Name: "dir", Usage: "directory for settings and logs; those of failed runs are kept", Value: filepath.Join(os.TempDir(), "dotterelswitch-soak")},
 		},
 		Action: runSoak,
 	}
@@ -45,27 +45,27 @@
 	if err != nil {
 		return err
 	}
-	broken := false
+	foundViolations := false
 	for n := range uint64(c.Int("seeds")) {
 		seed := c.Uint64("seed") + n
-		report, err := soakOnce(ctx, c, seed)
+		report, err := runSeed(ctx, c, seed)
 		if err != nil {
 			return err
 		}
 		if ctx.Err() != nil {
-			return fmt.Errorf("interrupted: seed %d was cut short, and no later one was run", seed)
+			return fmt.Errorf("interrupted during seed %d; later seeds were not run", seed)
 		}
-		broken = broken || len(report.Findings) > 0
+		foundViolations = foundViolations || len(report.Findings) > 0
 	}
-	if broken {
-		return errBroken
+	if foundViolations {
+		return errInvariantBroken
 	}
 	return nil
 }
 
-// soakOnce runs one seed, prints its report, and keeps the logs of a run that
-// found something.
-func soakOnce(ctx context.Context, c *cli.Command, seed uint64) (*soak.Report, error) {
+// runSeed runs one seed and prints its report. The logs are kept if the run has
+// findings.
+func runSeed(ctx context.Context, c *cli.Command, seed uint64) (*soak.Report, error) {
 	dir := filepath.Join(c.String("dir"), fmt.Sprintf("seed-%d", seed))
 	if err := os.RemoveAll(dir); err != nil {
 		return nil, err
--- a/node/edge/gateway.go
+++ b/node/edge/gateway.go
@@ -26,7 +26,7 @@
 	Workers int
 	Log     zerolog.Logger
 	// LogBudget limits the rate of log lines caused by callers.
-	LogBudget *eventlog.Budget
+	LogBudget *eventlog.RateLimiter
 }
 
 // Gateway accepts callers. It is safe for concurrent use.
--- a/node/entry/entry.go
+++ b/node/entry/entry.go
@@ -78,7 +78,7 @@
 	registry *registry.Registry
 	gateway  *edge.Gateway
 	metrics  *hostMetrics
-	budget   *eventlog.Budget
+	budget   *eventlog.RateLimiter
 	reads    readCounts
 	traffic  *trafficCounts
 	ctx      context.Context
@@ -116,7 +116,7 @@
 	h := &Host{
 		settings: s, adapter: a, dial: dial, log: log.With().Str("host", s.Host).Logger(),
 		reconcileWake: make(chan struct{}, 1), failed: make(chan error, 1), sets: map[string]*replicaset.Set{}, promoters: map[string]*promoter.Promoter{},
-		metrics: newHostMetrics(), budget: eventlog.NewBudget(), traffic: newTrafficCounts(), startedAt: clock.Now(), fleet: gates.NewFleet(nil, s.Places.Regions),
+		metrics: newHostMetrics(), budget: eventlog.NewRateLimiter(), traffic: newTrafficCounts(), startedAt: clock.Now(), fleet: gates.NewFleet(nil, s.Places.Regions),
 	}
 	h.ctx, h.cancel = context.WithCancel(context.Background())
 	h.owner = fmt.Sprintf("%s@%d", s.Host, clock.Now())
--- a/node/entry/metrics.go
+++ b/node/entry/metrics.go
@@ -35,7 +35,7 @@
 	if label == "" {
 		label = r.Database
 	}
-	m.metrics.Request(label, r.Statement.Kind.String(), o.Answer.Code.String(), o.Waited, r.Elapsed-o.Waited, r.Elapsed)
+	m.metrics.RecordRequest(label, r.Statement.Kind.String(), o.Answer.Code.String(), o.Waited, r.Elapsed-o.Waited, r.Elapsed)
 	if r.Statement.Reads() && o.Member != "" {
 		m.metrics.Count("reads", metrics.Label{Name: "member", Value: readTarget(o.Primary)})
 	}
@@ -95,7 +95,7 @@
 	m.Gauge("platform_revision", float64(st.Revision.Number()))
 	m.Gauge("platform_heard_seconds", st.SinceContact.Seconds())
 	m.Gauge("platform_followers", float64(st.Followers))
-	m.Gauge("log_lines_left_out", float64(h.budget.LeftOut()))
+	m.Gauge("log_lines_left_out", float64(h.budget.Suppressed()))
 	for _, s := range h.allSets() {
 		st := s.Stats(now)
 		m.ServiceGauge("connections", s.Service(), float64(st.Connections))
--- a/node/entry/show.go
+++ b/node/entry/show.go
@@ -11,7 +11,7 @@
 	"github.com/dotterelswitch/dotterelswitch/node/replicaset"
 )
 
-// Show implements inspect.Shower.
+// Show implements inspect.StateProvider.
 func (h *Host) Show() *inspectpb.ShowResponse {
 	now := clock.Now()
 	teams, more := h.showTeams(now)
--- a/node/entry/stop.go
+++ b/node/entry/stop.go
@@ -51,7 +51,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), closeTimeout)
 	defer cancel()
 	if err := h.registry.Deregister(ctx); err != nil {
-		eventlog.PlatformUnreached.Info(h.log).Err(err).Str("call", "leave").Send()
+		eventlog.PlatformUnreachable.Info(h.log).Err(err).Str("call", "leave").Send()
 	}
 }
 
--- a/node/entry/store_progress.go
+++ b/node/entry/store_progress.go
@@ -24,7 +24,7 @@
 	if c := h.registry.Catalog(); c != nil {
 		version = c.Version
 	}
-	eventlog.NewsCounted.Info(h.log).Stringer("revision", st.Revision).Uint64("version", version).
+	eventlog.UpdatesCounted.Info(h.log).Stringer("revision", st.Revision).Uint64("version", version).
 		Bool("away", st.Unreachable).Bool("direct", st.Direct).Str("relay", st.Relay).Dur("heard_ms", st.SinceContact).
 		Int("from_store", counts.FromStore).Int("from_relay", counts.FromRelay).Int("from_peers", counts.FromPeers).
 		Int("told", counts.Sent).Int("followers", st.Followers).Send()
--- a/node/entry/teams_test.go
+++ b/node/entry/teams_test.go
@@ -261,7 +261,7 @@
 	require.Equal(t, []string{"host-1"}, s.Teams[0].Counters)
 	require.Positive(t, s.Teams[0].Connections)
 	var text strings.Builder
-	require.NoError(t, inspect.Write(&text, s))
+	require.NoError(t, inspect.WriteText(&text, s))
 	require.Contains(t, text.String(), "20/s + 0")
 	require.NotContains(t, text.String(), "key-")
 	require.Eventually(t, func() bool {
--- a/node/entry/traffic.go
+++ b/node/entry/traffic.go
@@ -88,6 +88,6 @@
 func (h *Host) writeTrafficLine() {
 	h.countConnections()
 	if counts := h.traffic.take(); len(counts) > 0 {
-		eventlog.TalkCounted.Info(h.log).Interface("talk", counts).Send()
+		eventlog.ControlTrafficCounted.Info(h.log).Interface("talk", counts).Send()
 	}
 }
--- a/node/eventlog/event_test.go
+++ b/node/eventlog/event_test.go
@@ -11,8 +11,9 @@
 	"github.com/dotterelswitch/dotterelswitch/node/eventlog"
 )
 
-// TestCatalogue holds docs/EVENTS.md against the code, both ways.
-func TestCatalogue(t *testing.T) {
+// TestEventsMatchCatalogue checks that the code and docs/EVENTS.md list the same
+// events.
+func TestEventsMatchCatalogue(t *testing.T) {
 	data, err := os.ReadFile("../../docs/EVENTS.md")
 	require.NoError(t, err)
 	rows := map[string]bool{}
@@ -24,7 +25,7 @@
 	}
 	last := 0
 	for _, e := range eventlog.All() {
-		require.Greater(t, e.Number, last, "numbers ascend")
+		require.Greater(t, e.Number, last, "events must be ordered by number")
 		last = e.Number
 		key := fmt.Sprintf("%d %s", e.Number, e.Name)
 		require.True(t, rows[key], "docs/EVENTS.md lacks %s", key)
--- /dev/null
+++ b/node/eventlog/rate_limiter.go
@@ -0,0 +1,78 @@
+package eventlog
+
+import (
+	"sync"
+	"time"
+)
+
+// RateLimiter limits how many lines of each event are logged per second, so that
+// the log volume does not grow with the load. Suppressed lines are counted and
+// reported with the next line of the event. It is safe for concurrent use and
+// acquires no other lock while it holds its own.
+type RateLimiter struct {
+	perSecond map[int]int
+
+	mu              sync.Mutex
+	windows         map[int]*window
+	totalSuppressed int
+}
+
+// window counts the lines of one event in the current second.
+type window struct {
+	start      time.Duration
+	written    int
+	suppressed int
+}
+
+// Limits of lines per event and second. Failures have the highest one, since an
+// operator may need the line of any failed statement, while successes are only a
+// sample.
+const (
+	failuresPerSecond  = 200
+	successesPerSecond = 10
+	othersPerSecond    = 50
+)
+
+func NewRateLimiter() *RateLimiter {
+	return &RateLimiter{
+		perSecond: map[int]int{
+			StatementFailed.Number: failuresPerSecond, GateJobFailed.Number: failuresPerSecond,
+			StatementServed.Number: successesPerSecond,
+		},
+		windows: map[int]*window{},
+	}
+}
+
+// Allow reports whether a line of the event may be logged at the given time, and
+// how many lines were suppressed since the last one that was.
+func (b *RateLimiter) Allow(e Event, now time.Duration) (suppressed int, ok bool) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	w, found := b.windows[e.Number]
+	if !found {
+		w = &window{start: now}
+		b.windows[e.Number] = w
+	}
+	if now-w.start >= time.Second || now < w.start {
+		w.start, w.written = now, 0
+	}
+	limit, set := b.perSecond[e.Number]
+	if !set {
+		limit = othersPerSecond
+	}
+	if w.written >= limit {
+		w.suppressed++
+		b.totalSuppressed++
+		return 0, false
+	}
+	w.written++
+	suppressed, w.suppressed = w.suppressed, 0
+	return suppressed, true
+}
+
+// Suppressed returns the number of lines suppressed since the start.
+func (b *RateLimiter) Suppressed() int {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	return b.totalSuppressed
+}
--- a/node/eventlog/writer.go
+++ b/node/eventlog/writer.go
@@ -9,38 +9,37 @@
 )
 
 const (
-	// bufferedLines is how many lines wait for a slow reader of the log; older
-	// ones are dropped then. At the usual length it is about 1 MB.
+	// bufferedLines is the capacity of the ring buffer; when it is full, the oldest
+	// lines are dropped. At the usual line length it takes about 1 MB.
 	bufferedLines = 4096
-	// flushTimeout bounds the wait for the reader when the process ends.
+	// flushTimeout limits how long Close waits for the buffered lines to be written.
 	flushTimeout = 200 * time.Millisecond
 )
 
-// Writer writes lines in the background, so that nothing waits for whoever
-// reads the log, even if nobody does. It is safe for concurrent use.
+// Writer writes lines in the background, so that a slow or stuck reader of the log
+// never blocks the process. It is safe for concurrent use.
 type Writer struct {
 	diode   diode.Writer
 	dropped atomic.Int64
 }
 
-// NewWriter returns a writer of lines to out.
 func NewWriter(out io.Writer) *Writer {
 	w := &Writer{}
 	w.diode = diode.NewWriter(out, bufferedLines, 0, func(missed int) { w.dropped.Add(int64(missed)) })
 	return w
 }
 
-// Write implements io.Writer.
+// Write buffers a line. It never blocks.
 func (w *Writer) Write(line []byte) (int, error) { return w.diode.Write(line) }
 
-// Dropped returns how many lines the reader was too slow for.
+// Dropped returns how many lines were dropped because the buffer was full.
 func (w *Writer) Dropped() int64 { return w.dropped.Load() }
 
-// Close writes what is left, unless the reader is stuck.
+// Close writes the buffered lines, but waits for at most flushTimeout.
 func (w *Writer) Close() {
 	done := make(chan struct{})
 	go func() {
-		// What cannot be written when the process ends has nowhere to go.
+		// The log itself is what failed, so there is nowhere to report the error.
 		_ = w.diode.Close()
 		close(done)
 	}()
--- a/node/eventlog/writer_test.go
+++ b/node/eventlog/writer_test.go
@@ -12,9 +12,8 @@
 	"github.com/dotterelswitch/dotterelswitch/node/eventlog"
 )
 
-// TestStuckReaderBlocksNobody writes far more than a pipe holds that nobody
-// reads.
-func TestStuckReaderBlocksNobody(t *testing.T) {
+// Writes more than the capacity of a pipe that has no reader.
+func TestWriterDoesNotBlockOnStuckReader(t *testing.T) {
 	r, out, err := os.Pipe()
 	require.NoError(t, err)
 	defer func() { _ = r.Close() }()
@@ -26,7 +25,7 @@
 	w.Close()
 }
 
-func TestLinesReachTheReader(t *testing.T) {
+func TestWriterDeliversLines(t *testing.T) {
 	var out bytes.Buffer
 	w := eventlog.NewWriter(&out)
 	log := zerolog.New(w)
--- a/node/explain/line.go
+++ b/node/explain/line.go
@@ -1,5 +1,4 @@
-// Package explain tells the story of one request from the logs of several
-// hosts.
+// Package explain finds out why a request failed, from the logs of several hosts.
 package explain
 
 import (
@@ -9,7 +8,7 @@
 	"github.com/dotterelswitch/dotterelswitch/node/eventlog"
 )
 
-// Line is one line of a log, decoded as far as a story needs it.
+// Line is a log line with the fields that an explanation needs.
 type Line struct {
 	Time     time.Time `json:"time"`
 	Host     string    `json:"host"`
@@ -21,14 +20,14 @@
 	Code     string    `json:"code"`
 	Cause    string    `json:"cause"`
 	Primary  bool      `json:"primary"`
-	// Text is the line as it was written.
+	// Text is the JSON object of the line.
 	Text string `json:"-"`
 }
 
-// Parse decodes a line. It reports false for lines that are no event.
+// Parse decodes a log line. It reports false for a line that is not an event.
 func Parse(text string) (Line, bool) {
 	var l Line
-	object, found := eventlog.Object(text)
+	object, found := eventlog.JSONObject(text)
 	if !found || json.Unmarshal([]byte(object), &l) != nil || l.Event == 0 {
 		return Line{}, false
 	}
--- a/node/explain/summary.go
+++ b/node/explain/summary.go
@@ -9,21 +9,21 @@
 	"github.com/dotterelswitch/dotterelswitch/node/eventlog"
 )
 
-// Group is the failed statements that ended alike for the same reason.
-type Group struct {
+// FailureGroup counts the failed statements with the same code and cause.
+type FailureGroup struct {
 	Code, Cause string
 	Count       int
-	// Example is the id of the first of them.
+	// Example is the request id of the first one.
 	Example string
 }
 
-// address matches an IPv4 address with a port, which tells one failure from
-// another of the same kind.
-var address = regexp.MustCompile(`\d+\.\d+\.\d+\.\d+:\d+`)
+// addressPattern matches an IPv4 address with a port.
+var addressPattern = regexp.MustCompile(`\d+\.\d+\.\d+\.\d+:\d+`)
 
-// reason returns a line's cause without the names of members and hosts.
-func reason(l Line) string {
-	text := address.ReplaceAllString(l.Cause, "ADDRESS")
+// normalizedCause returns a line's cause with the member's name and all addresses
+// replaced by placeholders, so that equal causes are counted together.
+func normalizedCause(l Line) string {
+	text := addressPattern.ReplaceAllString(l.Cause, "ADDRESS")
 	if l.Upstream != "" {
 		text = strings.ReplaceAll(text, l.Upstream, "UPSTREAM")
 	}
@@ -33,25 +33,25 @@
 	return text
 }
 
-// Summarize groups the failed statements of all lines by code and cause, the
-// most frequent first.
-func Summarize(lines []Line) []Group {
+// Summarize groups the failed statements in lines by code and cause, most frequent
+// first.
+func Summarize(lines []Line) []FailureGroup {
 	type key struct{ code, cause string }
-	at := map[key]int{}
-	var groups []Group
+	index := map[key]int{}
+	var groups []FailureGroup
 	for _, l := range lines {
 		if l.Name != eventlog.StatementFailed.Name {
 			continue
 		}
-		k := key{l.Code, reason(l)}
-		i, found := at[k]
+		k := key{l.Code, normalizedCause(l)}
+		i, found := index[k]
 		if !found {
 			i = len(groups)
-			at[k] = i
-			groups = append(groups, Group{Code: k.code, Cause: k.cause, Example: l.Request})
+			index[k] = i
+			groups = append(groups, FailureGroup{Code: k.code, Cause: k.cause, Example: l.Request})
 		}
 		groups[i].Count++
 	}
-	slices.SortStableFunc(groups, func(a, b Group) int { return cmp.Compare(b.Count, a.Count) })
+	slices.SortStableFunc(groups, func(a, b FailureGroup) int { return cmp.Compare(b.Count, a.Count) })
 	return groups
 }
--- a/node/explain/summary_test.go
+++ b/node/explain/summary_test.go
@@ -8,8 +8,8 @@
 	"github.com/dotterelswitch/dotterelswitch/node/explain"
 )
 
-// TestFailuresAreGroupedByCause: members and addresses do not make two causes
-// of one, and statements that succeeded are not counted.
+// Causes that differ only in members or addresses are grouped, and successful
+// statements are not counted.
 func TestFailuresAreGroupedByCause(t *testing.T) {
 	failed := func(request, upstream, cause string) explain.Line {
 		return explain.Line{Event: 309, Name: "statement_failed", Request: request, Code: "busy", Upstream: upstream, Cause: cause}
@@ -23,7 +23,7 @@
 		failed("r5", "m2", "host 10.0.0.2:8: canceled"),
 		{Event: 310, Name: "statement_served", Request: "r6", Code: "ok"},
 	})
-	require.Equal(t, []explain.Group{
+	require.Equal(t, []explain.FailureGroup{
 		{Code: "busy", Cause: "host ADDRESS: canceled", Count: 3, Example: "r3"},
 		{Code: "busy", Cause: "member UPSTREAM answered behind", Count: 2, Example: "r1"},
 		{Code: "busy", Cause: "no cause is logged", Count: 1, Example: "r0"},
--- a/node/host/config_sync.go
+++ b/node/host/config_sync.go
@@ -209,8 +209,8 @@
 		return
 	}
 	if down {
-		eventlog.PlatformUnreached.Warn(h.log).Err(err).Send()
+		eventlog.PlatformUnreachable.Warn(h.log).Err(err).Send()
 	} else {
-		eventlog.PlatformReached.Info(h.log).Send()
+		eventlog.PlatformReachable.Info(h.log).Send()
 	}
 }
--- a/node/inspect/errors.go
+++ b/node/inspect/errors.go
@@ -2,9 +2,8 @@
 
 import "fmt"
 
-// Error says that a host did not describe itself.
+// Error reports a host whose state could not be read.
 type Error struct {
-	// Address is the one that was asked.
 	Address string
 	Err     error
 }
--- a/node/inspect/inspect.go
+++ b/node/inspect/inspect.go
@@ -1,4 +1,4 @@
-// Package inspect lets operators look into a running host. It only reads.
+// Package inspect serves a read-only view of a running host's state to operators.
 package inspect
 
 import (
@@ -11,25 +11,24 @@
 	"github.com/dotterelswitch/dotterelswitch/node/inspect/inspectpb/inspectpbconnect"
 )
 
-// Shower describes a host at this moment. It must not block on I/O.
-type Shower interface {
+// StateProvider returns a host's current state. It must not block on I/O.
+type StateProvider interface {
 	Show() *inspectpb.ShowResponse
 }
 
-// server answers operators.
-type server struct{ shower Shower }
+// server implements the Inspect service.
+type server struct{ provider StateProvider }
 
-// Handler returns the path that shows a host, and its handler.
-func Handler(s Shower) (string, http.Handler) {
+// Handler returns the path and the HTTP handler of the Inspect service.
+func Handler(s StateProvider) (string, http.Handler) {
 	return inspectpbconnect.NewInspectHandler(server{s})
 }
 
-// Show implements the service.
 func (s server) Show(context.Context, *connect.Request[inspectpb.ShowRequest]) (*connect.Response[inspectpb.ShowResponse], error) {
-	return connect.NewResponse(s.shower.Show()), nil
+	return connect.NewResponse(s.provider.Show()), nil
 }
 
-// Show asks the host whose metrics address is given to describe itself.
+// Show requests the state of the host with the given metrics address.
 func Show(ctx context.Context, client connect.HTTPClient, address string) (*inspectpb.ShowResponse, error) {
 	res, err := inspectpbconnect.NewInspectClient(client, "http://"+address, connect.WithHTTPGet()).
 		Show(ctx, connect.NewRequest(&inspectpb.ShowRequest{}))
--- a/node/inspect/text.go
+++ b/node/inspect/text.go
@@ -9,8 +9,8 @@
 	"github.com/dotterelswitch/dotterelswitch/node/inspect/inspectpb"
 )
 
-// Write prints what a host has shown, for a terminal.
-func Write(w io.Writer, s *inspectpb.ShowResponse) error {
+// WriteText writes a host's state as text for a terminal.
+func WriteText(w io.Writer, s *inspectpb.ShowResponse) error {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	p := &printer{w: t}
 	p.printf("host %s in zone %s: %s\n", s.Host, s.Zone, readiness(s.Ready))
@@ -34,7 +34,7 @@
 	return "not ready"
 }
 
-// printer keeps the first error, so that lines can be written one by one.
+// printer keeps the first write error, so that callers need not check each line.
 type printer struct {
 	w   io.Writer
 	err error
@@ -59,12 +59,12 @@
 	if s.GetAway() {
 		reached = "AWAY"
 	}
-	way := "through " + orNone(s.GetRelay())
+	path := "through " + orNone(s.GetRelay())
 	if s.GetDirect() {
-		way = "directly"
+		path = "directly"
 	}
 	p.printf("store %s %s, heard %d ms ago, epoch %d, revision %d; hosts %d, followers %d\n",
-		reached, way, s.GetHeardMsAgo(), s.GetEpoch(), s.GetRevision(), s.GetHosts(), s.GetFollowers())
+		reached, path, s.GetHeardMsAgo(), s.GetEpoch(), s.GetRevision(), s.GetHosts(), s.GetFollowers())
 }
 
 func (p *printer) service(s *inspectpb.Service) {
--- a/node/inspect/text_test.go
+++ b/node/inspect/text_test.go
@@ -10,8 +10,8 @@
 	"github.com/dotterelswitch/dotterelswitch/node/inspect/inspectpb"
 )
 
-// TestHostIsPrinted checks what an operator reads of a host in trouble.
-func TestHostIsPrinted(t *testing.T) {
+// A host that cannot reach the store, with one dead and one draining member.
+func TestWriteText(t *testing.T) {
 	s := &inspectpb.ShowResponse{
 		Host: "h1", Zone: "a", Ready: true, Sessions: 3, MaxSessions: 900,
 		Configuration: &inspectpb.Configuration{Version: 4, Routes: 2},
@@ -26,7 +26,7 @@
 		}},
 	}
 	var out bytes.Buffer
-	require.NoError(t, inspect.Write(&out, s))
+	require.NoError(t, inspect.WriteText(&out, s))
 	require.Equal(t, `host h1 in zone a: ready
 sessions 3 of 900, jobs of other hosts 0
 configuration 4 with 2 routes
@@ -39,9 +39,9 @@
 `, out.String())
 }
 
-// TestEmptyHostIsPrinted: a host that has just started holds nothing.
-func TestEmptyHostIsPrinted(t *testing.T) {
+// A host that has just started has no configuration, store state or services.
+func TestWriteTextOfEmptyHost(t *testing.T) {
 	var out bytes.Buffer
-	require.NoError(t, inspect.Write(&out, &inspectpb.ShowResponse{Host: "h1", Zone: "a"}))
+	require.NoError(t, inspect.WriteText(&out, &inspectpb.ShowResponse{Host: "h1", Zone: "a"}))
 	require.Contains(t, out.String(), "host h1 in zone a: not ready")
 }
--- a/node/measure/line.go
+++ b/node/measure/line.go
@@ -37,7 +37,7 @@
 // Parse decodes a line. It reports false for lines that are no event.
 func Parse(text string) (Line, bool) {
 	var l Line
-	object, found := eventlog.Object(text)
+	object, found := eventlog.JSONObject(text)
 	if !found || json.Unmarshal([]byte(object), &l) != nil || l.Event == 0 {
 		return Line{}, false
 	}
--- a/node/measure/losses.go
+++ b/node/measure/losses.go
@@ -79,7 +79,7 @@
 				loss.At = alive
 			}
 			loss.Lost = l.Upstream
-		case eventlog.LossAgreed.Number, eventlog.LockTaken.Number:
+		case eventlog.PrimaryLossAgreed.Number, eventlog.PromotionLockTaken.Number:
 			first(&agreed, l.Time)
 		case eventlog.PromotionOrdered.Number:
 			first(&ordered, l.Time)
@@ -117,7 +117,7 @@
 			}
 		case l.Event == eventlog.PrimaryChanged.Number && l.Was == loss.Lost && l.Source == refusedSource && l.Time.Sub(end.Time) < livingFor:
 			loss.Living = true
-		case l.Event == eventlog.FirstWrite.Number && l.Upstream == loss.Next && (loss.FirstWrite == 0 || at < loss.FirstWrite):
+		case l.Event == eventlog.PrimaryFirstWrite.Number && l.Upstream == loss.Next && (loss.FirstWrite == 0 || at < loss.FirstWrite):
 			loss.FirstWrite = at
 		}
 	}
--- a/node/measure/talk.go
+++ b/node/measure/talk.go
@@ -30,7 +30,7 @@
 		if l.Time.After(last) {
 			last = l.Time
 		}
-		if l.Event != eventlog.TalkCounted.Number {
+		if l.Event != eventlog.ControlTrafficCounted.Number {
 			continue
 		}
 		for purpose, n := range l.Talk {
--- a/node/metrics/metrics.go
+++ b/node/metrics/metrics.go
@@ -1,4 +1,5 @@
-// Package metrics reports what a host does, by tally, in Prometheus text.
+// Package metrics collects a host's metrics with tally and serves them in the
+// Prometheus text format.
 package metrics
 
 import (
@@ -12,13 +13,13 @@
 	"github.com/uber-go/tally/v4/prometheus"
 )
 
-// otherTeam is the label of the teams past the limit.
-const otherTeam = "other"
+// otherTeamsLabel is the label that teams above the limit share.
+const otherTeamsLabel = "other"
 
-// reportInterval is how often counters reach the reporter.
+// reportInterval is how often tally passes values to the Prometheus reporter.
 const reportInterval = time.Second
 
-// Metrics holds a host's measurements. It is safe for concurrent use.
+// Metrics holds a host's metrics. It is safe for concurrent use.
 type Metrics struct {
 	scope    tally.Scope
 	closer   io.Closer
@@ -31,20 +32,19 @@
 	scopes map[scopeKey]*requestScope
 }
 
-// scopeKey is one combination of labels.
 type scopeKey struct{ team, class string }
 
-// requestScope holds the histograms of one combination of labels.
+// requestScope holds the metrics of one combination of labels.
 type requestScope struct {
-	queue, service, whole tally.Histogram
+	queue, service, total tally.Histogram
 	scope                 tally.Scope
 }
 
-// buckets are the histograms' bounds: 100 µs to about 26 s by factors of two.
+// buckets are the bucket bounds of the histograms, from 100 µs to about 26 s.
 var buckets = tally.MustMakeExponentialDurationBuckets(100*time.Microsecond, 2, 19)
 
-// New returns the metrics of a host. At most maxTeams teams have labels of
-// their own, in order of their first request; the rest share one.
+// New returns the metrics of a host. To limit cardinality, only the first maxTeams
+// teams get a label of their own; the others share one.
 func New(maxTeams int) *Metrics {
 	registry := prom.NewRegistry()
 	reporter := prometheus.NewReporter(prometheus.Options{
@@ -60,36 +60,36 @@
 	}
 }
 
-// Handler serves the metrics as text.
+// Handler serves the metrics in the Prometheus text format.
 func (m *Metrics) Handler() http.Handler { return m.reporter.HTTPHandler() }
 
-// Close stops the reports.
+// Close reports the remaining values and stops.
 func (m *Metrics) Close() { _ = m.closer.Close() }
 
-// Request records one finished request. Outcome is its name in the vocabulary.
-func (m *Metrics) Request(team, class, outcome string, queue, service, whole time.Duration) {
+// RecordRequest records the outcome and the durations of one finished request.
+func (m *Metrics) RecordRequest(team, class, outcome string, queue, service, total time.Duration) {
 	rs := m.requestScope(team, class)
 	rs.queue.RecordDuration(queue)
 	rs.service.RecordDuration(service)
-	rs.whole.RecordDuration(whole)
+	rs.total.RecordDuration(total)
 	rs.scope.Tagged(map[string]string{"outcome": outcome}).Counter("requests").Inc(1)
 }
 
-// CountTeam adds one to a counter of a team; teams past the limit share a label.
+// CountTeam increments a counter of a team; teams above the limit share a label.
 func (m *Metrics) CountTeam(name, team string, label Label) {
 	m.mu.Lock()
-	team = m.labelOf(team)
+	team = m.teamLabel(team)
 	m.mu.Unlock()
 	m.Count(name, Label{Name: "team", Value: team}, label)
 }
 
-// labelOf returns the label of a team. It is called with mu held.
-func (m *Metrics) labelOf(team string) string {
+// teamLabel returns the label of a team. The caller holds mu.
+func (m *Metrics) teamLabel(team string) string {
 	if m.teams[team] {
 		return team
 	}
 	if len(m.teams) >= m.maxTeams {
-		return otherTeam
+		return otherTeamsLabel
 	}
 	m.teams[team] = true
 	return team
@@ -98,30 +98,30 @@
 func (m *Metrics) requestScope(team, class string) *requestScope {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	team = m.labelOf(team)
+	team = m.teamLabel(team)
 	key := scopeKey{team, class}
 	rs, found := m.scopes[key]
 	if !found {
 		s := m.scope.Tagged(map[string]string{"team": team, "class": class})
 		rs = &requestScope{
 			scope: s, queue: s.Histogram("queue_seconds", buckets),
-			service: s.Histogram("service_seconds", buckets), whole: s.Histogram("whole_seconds", buckets),
+			service: s.Histogram("service_seconds", buckets), total: s.Histogram("whole_seconds", buckets),
 		}
 		m.scopes[key] = rs
 	}
 	return rs
 }
 
-// Gauge sets a host-wide value.
+// Gauge sets a gauge without labels.
 func (m *Metrics) Gauge(name string, value float64) { m.scope.Gauge(name).Update(value) }
 
-// Label tells the values of one metric apart.
+// Label is a Prometheus label.
 type Label struct{ Name, Value string }
 
-// Count adds one to a counter. Labels must be few, and their values too.
+// Count increments a counter. The labels must have few distinct values.
 func (m *Metrics) Count(name string, labels ...Label) { m.Add(name, 1, labels...) }
 
-// Add adds to a counter. Labels must be few, and their values too.
+// Add adds n to a counter. The labels must have few distinct values.
 func (m *Metrics) Add(name string, n int, labels ...Label) {
 	tags := make(map[string]string, len(labels))
 	for _, l := range labels {
@@ -130,7 +130,7 @@
 	m.scope.Tagged(tags).Counter(name).Inc(int64(n))
 }
 
-// ServiceGauge sets a value of one service.
+// ServiceGauge sets a gauge of one service.
 func (m *Metrics) ServiceGauge(name, service string, value float64) {
 	m.scope.Tagged(map[string]string{"service": service}).Gauge(name).Update(value)
 }
--- a/node/metrics/metrics_test.go
+++ b/node/metrics/metrics_test.go
@@ -12,15 +12,15 @@
 	"github.com/dotterelswitch/dotterelswitch/node/metrics"
 )
 
-// TestTeamsShownAreCapped checks that teams past the limit share a label,
-// and that each request is counted in its histograms.
-func TestTeamsShownAreCapped(t *testing.T) {
+// Teams above the limit share a label, and every request is recorded in the
+// histograms.
+func TestTeamLabelsAreLimited(t *testing.T) {
 	const limit, teams = 3, 10
 	m := metrics.New(limit)
 	for i := range teams {
-		m.Request(fmt.Sprintf("t%d", i), "lookup", "ok", time.Millisecond, time.Millisecond, 2*time.Millisecond)
+		m.RecordRequest(fmt.Sprintf("t%d", i), "lookup", "ok", time.Millisecond, time.Millisecond, 2*time.Millisecond)
 	}
-	m.Close() // reports what is left
+	m.Close() // reports the remaining values
 	w := httptest.NewRecorder()
 	m.Handler().ServeHTTP(w, httptest.NewRequest("GET", "/metrics", nil))
 	text := w.Body.String()
--- a/node/promoter/lead.go
+++ b/node/promoter/lead.go
@@ -29,7 +29,7 @@
 	p.leading.Store(mayLead)
 	switch {
 	case mayLead:
-		eventlog.LossAgreed.Info(p.log).Str("upstream", failed).Uint64("token", lock.Token()).
+		eventlog.PrimaryLossAgreed.Info(p.log).Str("upstream", failed).Uint64("token", lock.Token()).
 			Bool("store_away", storeAway).Int("opinions", len(opinions)).Send()
 		p.runPromotion(ctx, lock.Token(), promote)
 	case !backingOff && !storeAway && now >= p.earliestTakeover(lock):
@@ -62,7 +62,7 @@
 		p.backOff(attemptBackoff)
 		return
 	}
-	eventlog.LockTaken.Info(p.log).Uint64("token", token).Str("from", lock.Holder).Send()
+	eventlog.PromotionLockTaken.Info(p.log).Uint64("token", token).Str("from", lock.Holder).Send()
 	p.leading.Store(true)
 	p.runPromotion(ctx, token, promote)
 }
@@ -74,7 +74,7 @@
 	err := promote(ctx, token)
 	p.observe(resultOf(err))
 	if err != nil {
-		eventlog.OrderFailed.Warn(p.log).Err(err).Str("order", "promotion").Uint64("token", token).Send()
+		eventlog.GroupCommandFailed.Warn(p.log).Err(err).Str("order", "promotion").Uint64("token", token).Send()
 		if tokenRefused(err) {
 			p.fencedToken = token
 		}
@@ -100,7 +100,7 @@
 	defer cancel()
 	token, err := p.registry.TakeLock(ctx, p.service, known)
 	if err != nil {
-		eventlog.OrderFailed.Info(p.log).Err(err).Str("order", "lock").Send()
+		eventlog.GroupCommandFailed.Info(p.log).Err(err).Str("order", "lock").Send()
 		return 0, err
 	}
 	p.mu.Lock()
--- a/node/promoter/replace.go
+++ b/node/promoter/replace.go
@@ -134,7 +134,7 @@
 		go func() {
 			st, err := p.set.SendControl(ctx, m, order(m.ID()))
 			if err != nil {
-				eventlog.OrderFailed.Info(p.log).Err(err).Str("upstream", m.ID()).Str("order", "survey").Send()
+				eventlog.GroupCommandFailed.Info(p.log).Err(err).Str("upstream", m.ID()).Str("order", "survey").Send()
 			}
 			results <- orderResult{report: succession.Report{ID: m.ID(), Leaving: m.Leaving(), Status: st}, failed: err != nil}
 		}()
@@ -147,7 +147,7 @@
 	for _, r := range reports {
 		if m, known := p.set.Member(r.ID); known {
 			if _, err := p.set.SendControl(ctx, m, statement.Operation{Verb: statement.ResumeReplication}); err != nil {
-				eventlog.OrderFailed.Warn(p.log).Err(err).Str("upstream", r.ID).Str("order", "resume").Send()
+				eventlog.GroupCommandFailed.Warn(p.log).Err(err).Str("upstream", r.ID).Str("order", "resume").Send()
 			}
 		}
 	}
--- a/node/promoter/store_sync.go
+++ b/node/promoter/store_sync.go
@@ -116,7 +116,7 @@
 	epoch := p.registry.Epoch()
 	if reported := p.reportedPrimary(); reported != "" {
 		if err := p.registry.Trust(ctx, p.service, reported); err != nil {
-			eventlog.OrderFailed.Warn(p.log).Err(err).Str("order", "take a report back").Send()
+			eventlog.GroupCommandFailed.Warn(p.log).Err(err).Str("order", "take a report back").Send()
 			return
 		}
 		p.storeSync.reported = ""
@@ -125,10 +125,10 @@
 		return
 	}
 	if err := p.registry.Suspect(ctx, p.service, lost); err != nil {
-		eventlog.OrderFailed.Warn(p.log).Err(err).Str("order", "report a dead primary").Send()
+		eventlog.GroupCommandFailed.Warn(p.log).Err(err).Str("order", "report a dead primary").Send()
 		return
 	}
-	eventlog.PrimaryReported.Info(p.log).Str("upstream", lost).Send()
+	eventlog.PrimaryReportedDead.Info(p.log).Str("upstream", lost).Send()
 	p.storeSync.reported, p.storeSync.reportedEpoch = lost, epoch
 }
 
--- a/node/registry/apply.go
+++ b/node/registry/apply.go
@@ -20,7 +20,7 @@
 	}
 	r.mu.Unlock()
 	if !wasUnreachable {
-		eventlog.PlatformUnreached.Warn(r.log).Err(err).Send()
+		eventlog.PlatformUnreachable.Warn(r.log).Err(err).Send()
 	}
 }
 
@@ -48,7 +48,7 @@
 	if r.unreachable {
 		r.unreachable = false
 		r.signalStoreReached()
-		eventlog.PlatformReached.Info(r.log).Stringer("revision", r.revision).Send()
+		eventlog.PlatformReachable.Info(r.log).Stringer("revision", r.revision).Send()
 	}
 }
 
--- a/node/registry/peers.go
+++ b/node/registry/peers.go
@@ -73,7 +73,7 @@
 		r.applyChange(i, now)
 	}
 	r.mu.Unlock()
-	eventlog.RelayedBy.Info(r.log).Str("peer", peer).Stringer("revision", l.Revision).Send()
+	eventlog.ListingRelayed.Info(r.log).Str("peer", peer).Stringer("revision", l.Revision).Send()
 	r.changed()
 }
 
--- a/node/replicaset/member_pool.go
+++ b/node/replicaset/member_pool.go
@@ -64,7 +64,7 @@
 		c.takenAt, c.workKind = now, w.Kind
 		return c, nil, nil
 	case connpool.Refused:
-		return nil, nil, &RefusedError{Reason: eventlog.ReasonFull, RetryAfter: decision.RetryAfter}
+		return nil, nil, &RefusedError{Reason: eventlog.ReasonQueueFull, RetryAfter: decision.RetryAfter}
 	}
 	ch := make(chan grant, 1)
 	m.waiters[w.ID] = ch
--- a/node/replicaset/primary.go
+++ b/node/replicaset/primary.go
@@ -84,7 +84,7 @@
 	s.lastWriteTerm = max(s.lastWriteTerm, p.Term)
 	s.mu.Unlock()
 	if isFirst {
-		eventlog.FirstWrite.Info(s.log).Str("upstream", m.id).Stringer("position", p).Send()
+		eventlog.PrimaryFirstWrite.Info(s.log).Str("upstream", m.id).Stringer("position", p).Send()
 	}
 }
 
--- a/node/settings/flags.go
+++ b/node/settings/flags.go
@@ -7,49 +7,50 @@
 	"github.com/urfave/cli/v3"
 )
 
-// Flags returns the flags that fill s. Each has an environment variable.
+// Flags returns the flags that set the fields of s. Each flag can also be set by its
+// environment variable.
 func Flags(s *Settings) []cli.Flag {
 	return []cli.Flag{
-		text("id", "name of this host, unique in the fleet", "", &s.ID),
-		text("zone", "availability zone of this host", "", &s.Zone),
-		text("listen", "address for callers", "127.0.0.1:6432", &s.Listen),
-		text("peer", "address for calls between hosts and by operators", "127.0.0.1:6433", &s.Peer),
-		text("metrics", "address for metrics over HTTP", "127.0.0.1:6434", &s.Metrics),
-		text("platform", "address of the platform's key-value service", "127.0.0.1:8500", &s.Platform),
-		text("peer-key", "secret that hosts and operators share", "", &s.PeerKey),
-		text("upstream-user", "user name at upstreams", "dotterelswitch", &s.UpstreamUser),
-		text("upstream-password", "password at upstreams", "", &s.UpstreamPassword),
-		number("max-message", "largest message from a caller, in bytes", 16<<20, &s.MaxMessage),
-		number("max-answer", "largest answer of an upstream, in bytes; each answer is held in memory", 64<<20, &s.MaxAnswer),
-		number("max-connections", "callers at once", 10_000, &s.MaxConnections),
-		number("max-team-connections", "callers of one team at once", 5_000, &s.MaxTeamConnections),
-		number("max-teams-shown", "teams with metrics of their own; the rest share one label", 100, &s.MaxTeamsShown),
-		number("workers", "requests that run at once; each costs a goroutine", 4096, &s.Workers),
-		duration("startup-timeout", "time a caller has to log in", 10*time.Second, &s.StartupTimeout),
-		duration("statement-timeout", "deadline of a request; callers may set a shorter one", 10*time.Second, &s.StatementTimeout),
-		duration("drain-timeout", "time that a stop waits for what runs", 30*time.Second, &s.DrainTimeout),
+		stringFlag("id", "name of this host, unique in the fleet", "", &s.ID),
+		stringFlag("zone", "availability zone of this host", "", &s.Zone),
+		stringFlag("listen", "address for callers", "127.0.0.1:6432", &s.Listen),
+		stringFlag("peer", "address for calls between hosts and by operators", "127.0.0.1:6433", &s.Peer),
+		stringFlag("metrics", "address for metrics over HTTP", "127.0.0.1:6434", &s.Metrics),
+		stringFlag("platform", "address of the platform's key-value service", "127.0.0.1:8500", &s.Platform),
+		stringFlag("peer-key", "secret that hosts and operators share", "", &s.PeerKey),
+		stringFlag("upstream-user", "user name at upstreams", "dotterelswitch", &s.UpstreamUser),
+		stringFlag("upstream-password", "password at upstreams", "", &s.UpstreamPassword),
+		intFlag("max-message", "size limit of a message from a caller, in bytes", 16<<20, &s.MaxMessage),
+		intFlag("max-answer", "size limit of an answer from an upstream, in bytes; each answer is buffered in memory", 64<<20, &s.MaxAnswer),
+		intFlag("max-connections", "limit of concurrent caller sessions", 10_000, &s.MaxConnections),
+		intFlag("max-team-connections", "limit of concurrent caller sessions per team", 5_000, &s.MaxTeamConnections),
+		intFlag("max-teams-shown", "number of teams with a metrics label of their own; the others share one label", 100, &s.MaxTeamsShown),
+		intFlag("workers", "limit of concurrent requests; each uses a goroutine", 4096, &s.Workers),
+		durationFlag("startup-timeout", "time limit for the login of a caller", 10*time.Second, &s.StartupTimeout),
+		durationFlag("statement-timeout", "deadline of a request; callers may set a shorter one", 10*time.Second, &s.StatementTimeout),
+		durationFlag("drain-timeout", "how long a shutdown waits for running requests", 30*time.Second, &s.DrainTimeout),
 		&cli.BoolFlag{Name: "profile", Usage: "serve runtime profiles under /debug/pprof/ at the metrics address", Destination: &s.Profile, Sources: cli.EnvVars(EnvName("profile"))},
-		text("log-level", "debug, info, warn or error", "info", &s.LogLevel),
+		stringFlag("log-level", "debug, info, warn or error", "info", &s.LogLevel),
 	}
 }
 
-func text(name, usage, value string, target *string) cli.Flag {
+func stringFlag(name, usage, value string, target *string) cli.Flag {
 	return &cli.StringFlag{Name: name, Usage: usage, Value: value, Destination: target, Sources: cli.EnvVars(EnvName(name))}
 }
 
-func number(name, usage string, value int, target *int) cli.Flag {
+func intFlag(name, usage string, value int, target *int) cli.Flag {
 	return &cli.IntFlag{Name: name, Usage: usage, Value: value, Destination: target, Sources: cli.EnvVars(EnvName(name))}
 }
 
-func duration(name, usage string, value time.Duration, target *time.Duration) cli.Flag {
+func durationFlag(name, usage string, value time.Duration, target *time.Duration) cli.Flag {
 	return &cli.DurationFlag{Name: name, Usage: usage, Value: value, Destination: target, Sources: cli.EnvVars(EnvName(name))}
 }
 
-// Default returns the settings that hold where no flag or variable is given.
+// Default returns the default values of all settings.
 func Default() Settings {
 	var s Settings
 	cmd := &cli.Command{Flags: Flags(&s), Action: func(context.Context, *cli.Command) error { return nil }}
-	// An empty command line is always valid.
+	// Parsing a command line without arguments cannot fail.
 	_ = cmd.Run(context.Background(), []string{"defaults"})
 	return s
 }
--- a/node/settings/settings.go
+++ b/node/settings/settings.go
@@ -1,5 +1,5 @@
-// Package settings reads and checks a host's settings, which come from flags
-// and environment variables.
+// Package settings defines and validates a host's settings, which are given by
+// flags and environment variables.
 package settings
 
 import (
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// Settings are the settings of one host.
+// Settings are the settings of one host. The usage texts in Flags describe them.
 type Settings struct {
 	ID      string
 	Zone    string
@@ -20,7 +20,7 @@
 	Platform string
 	// PeerKey is the secret that hosts and operators share. It is never logged.
 	PeerKey string
-	// UpstreamUser and UpstreamPassword log in to upstreams.
+	// UpstreamUser and UpstreamPassword are the credentials for upstreams.
 	UpstreamUser     string
 	UpstreamPassword string
 
@@ -34,11 +34,11 @@
 	StatementTimeout   time.Duration
 	DrainTimeout       time.Duration
 	LogLevel           string
-	// Profile serves runtime profiles next to the metrics.
+	// Profile enables pprof at the metrics address.
 	Profile bool
 }
 
-// InvalidError reports a setting with a value that is not allowed.
+// InvalidError reports a setting with an invalid value.
 type InvalidError struct {
 	Name    string
 	Value   string
@@ -49,12 +49,12 @@
 	return fmt.Sprintf("setting --%s (%s) is %q; allowed is %s", e.Name, EnvName(e.Name), e.Value, e.Allowed)
 }
 
-// EnvName returns the environment variable of a flag.
+// EnvName returns the name of a flag's environment variable.
 func EnvName(flag string) string {
 	return "DOTTERELSWITCH_" + strings.ToUpper(strings.ReplaceAll(flag, "-", "_"))
 }
 
-// Check returns a *InvalidError for the first setting that is not allowed.
+// Check returns an *InvalidError for the first invalid setting.
 func (s *Settings) Check() error {
 	checks := []error{
 		checkName("id", s.ID), checkName("zone", s.Zone),
@@ -84,7 +84,7 @@
 func checkAddress(name, value string) error {
 	host, port, err := net.SplitHostPort(value)
 	if err != nil || port == "" || (host != "" && net.ParseIP(host) == nil) {
-		return &InvalidError{Name: name, Value: value, Allowed: "an IP number and a port, as in 127.0.0.1:6432"}
+		return &InvalidError{Name: name, Value: value, Allowed: "an IP address and a port, as in 127.0.0.1:6432"}
 	}
 	return nil
 }
@@ -111,10 +111,10 @@
 	return &InvalidError{Name: "log-level", Value: value, Allowed: "debug, info, warn or error"}
 }
 
-const nameLetters = "abcdefghijklmnopqrstuvwxyz0123456789-"
+const nameAlphabet = "abcdefghijklmnopqrstuvwxyz0123456789-"
 
 func checkName(name, value string) error {
-	if value == "" || len(value) > maxNameLength || strings.Trim(value, nameLetters) != "" {
+	if value == "" || len(value) > maxNameLength || strings.Trim(value, nameAlphabet) != "" {
 		return &InvalidError{Name: name, Value: value, Allowed: fmt.Sprintf("1 to %d lower-case letters, digits and hyphens", maxNameLength)}
 	}
 	return nil
--- a/node/settings/settings_test.go
+++ b/node/settings/settings_test.go
@@ -9,13 +9,13 @@
 	"github.com/dotterelswitch/dotterelswitch/node/settings"
 )
 
-// TestWrongSettingsNameThemselves checks that each wrong value is refused with
-// its name, its variable, its value and what is allowed, and exit status 2.
-func TestWrongSettingsNameThemselves(t *testing.T) {
+// The error for an invalid value names the flag, its environment variable and the
+// allowed values, and gives the exit status for wrong usage.
+func TestInvalidSettingsAreReported(t *testing.T) {
 	good := settings.Default()
 	good.ID, good.Zone = "host-1", "zone-a"
 	require.NoError(t, good.Check())
-	for name, spoil := range map[string]func(s *settings.Settings){
+	for name, mutate := range map[string]func(s *settings.Settings){
 		"id":                   func(s *settings.Settings) { s.ID = "Host 1" },
 		"zone":                 func(s *settings.Settings) { s.Zone = "" },
 		"listen":               func(s *settings.Settings) { s.Listen = "localhost" },
@@ -34,7 +34,7 @@
 		"log-level":            func(s *settings.Settings) { s.LogLevel = "loud" },
 	} {
 		s := good
-		spoil(&s)
+		mutate(&s)
 		err := s.Check()
 		var invalid *settings.InvalidError
 		require.ErrorAs(t, err, &invalid, name)
@@ -45,15 +45,14 @@
 	}
 }
 
-// TestEveryFlagHasAVariable checks the naming rule.
-func TestEveryFlagHasAVariable(t *testing.T) {
+func TestEveryFlagHasAnEnvironmentVariable(t *testing.T) {
 	var s settings.Settings
 	for _, f := range settings.Flags(&s) {
-		require.Equal(t, "DOTTERELSWITCH_"+envTail(f.Names()[0]), settings.EnvName(f.Names()[0]))
+		require.Equal(t, "DOTTERELSWITCH_"+envSuffix(f.Names()[0]), settings.EnvName(f.Names()[0]))
 	}
 }
 
-func envTail(flag string) string {
+func envSuffix(flag string) string {
 	out := []byte(flag)
 	for i, c := range out {
 		switch {
--- a/node/watch/perform.go
+++ b/node/watch/perform.go
@@ -145,7 +145,7 @@
 	sent := w.Now()
 	st, accepted, err := send(commandCtx, w.cfg.Controls[a.Member])
 	if err != nil {
-		eventlog.OrderFailed.Warn(w.cfg.Log).Err(err).
+		eventlog.GroupCommandFailed.Warn(w.cfg.Log).Err(err).
 			Str("service", w.cfg.Service).Str("upstream", a.Member).Stringer("order", a.Kind).Send()
 		return
 	}
