--- a/node/cmd/dotterelswitch/main.go
+++ b/node/cmd/dotterelswitch/main.go
@@ -1,4 +1,4 @@
-// Command dotterelswitch runs one entry host of the proxy.
+// Command dotterelswitch runs an entry host of the database proxy.
 package main
 
 import (
@@ -40,8 +40,8 @@
 	}
 }
 
-// errForced reports a stop that had to cut what still ran.
-var errForced = errors.New("the drain timeout passed; callers were cut")
+// errDrainTimeout reports a shutdown that closed sessions with running requests.
+var errDrainTimeout = errors.New("drain timeout exceeded; remaining caller sessions were closed")
 
 func run(ctx context.Context, s settings.Settings) error {
 	if err := s.Check(); err != nil {
@@ -66,7 +66,7 @@
 	drain, cancel := context.WithTimeout(context.Background(), s.DrainTimeout)
 	defer cancel()
 	if !h.Stop(drain) {
-		return errForced
+		return errDrainTimeout
 	}
 	return nil
 }
--- a/node/cmd/dotterelswitch/platform.go
+++ b/node/cmd/dotterelswitch/platform.go
@@ -22,16 +22,16 @@
 	"github.com/dotterelswitch/dotterelswitch/platform"
 )
 
-// platformSettings are the flags of the command that runs on the platform. The
-// rest comes from the boot file.
+// platformSettings are the flags of the platform command. All other settings come
+// from the boot file.
 type platformSettings struct {
 	boot        string
 	metricsPort int
 	workers     int
 	logLevel    string
 	callTimeout time.Duration
-	// without names the mechanisms to leave out, to measure what they gain.
-	without []string
+	// disabledMechanisms are turned off to measure their benefit.
+	disabledMechanisms []string
 }
 
 func platformCommand() *cli.Command {
@@ -40,28 +40,27 @@
 		Name:  "platform",
 		Usage: "run one entry host on the users' platform",
 		Flags: []cli.Flag{
-			&cli.StringFlag{Name: "boot", Usage: "path of the boot file", Destination: &s.boot, Sources: cli.EnvVars(platform.BootVariable)},
+			&cli.StringFlag{Name: "boot", Usage: "path of the boot file", Destination: &s.boot, Sources: cli.EnvVars(platform.BootEnvVar)},
 			&cli.IntFlag{Name: "metrics-port", Usage: "port for metrics over HTTP; 0 for none", Value: 9464, Destination: &s.metricsPort, Sources: cli.EnvVars(settings.EnvName("metrics-port"))},
-			&cli.IntFlag{Name: "workers", Usage: "statements that run at once; each costs a goroutine", Value: 4096, Destination: &s.workers, Sources: cli.EnvVars(settings.EnvName("workers"))},
+			&cli.IntFlag{Name: "workers", Usage: "limit of concurrent statements; each uses a goroutine", Value: 4096, Destination: &s.workers, Sources: cli.EnvVars(settings.EnvName("workers"))},
 			&cli.StringFlag{Name: "log-level", Usage: "debug, info, warn or error", Value: "info", Destination: &s.logLevel, Sources: cli.EnvVars(settings.EnvName("log-level"))},
-			&cli.DurationFlag{Name: "platform-timeout", Usage: "time for one call to the platform", Value: 1500 * time.Millisecond, Destination: &s.callTimeout, Sources: cli.EnvVars(settings.EnvName("platform-timeout"))},
-			&cli.StringSliceFlag{Name: "without", Usage: "leave a mechanism out, to measure what it gains; may be repeated", Sources: cli.EnvVars(settings.EnvName("without"))},
+			&cli.DurationFlag{Name: "platform-timeout", Usage: "timeout of one call to the platform", Value: 1500 * time.Millisecond, Destination: &s.callTimeout, Sources: cli.EnvVars(settings.EnvName("platform-timeout"))},
+			&cli.StringSliceFlag{Name: "without", Usage: "disable a mechanism to measure its benefit; may be repeated", Sources: cli.EnvVars(settings.EnvName("without"))},
 		},
 		Action: func(_ context.Context, c *cli.Command) error {
 			if c.Args().Len() > 0 {
 				return &exit.UsageError{Text: "unexpected argument " + c.Args().First()}
 			}
-			s.without = c.StringSlice("without")
+			s.disabledMechanisms = c.StringSlice("without")
 			return runOnPlatform(s)
 		},
 	}
 }
 
-// check reports settings that cannot be used.
 func (s platformSettings) check() error {
 	switch {
 	case s.boot == "":
-		return &exit.UsageError{Text: "the boot file is not named: set --boot or " + platform.BootVariable}
+		return &exit.UsageError{Text: "no boot file given: set --boot or " + platform.BootEnvVar}
 	case s.workers < 1:
 		return &exit.UsageError{Text: "--workers must be at least 1"}
 	case s.metricsPort < 0 || s.metricsPort > 65535:
@@ -72,13 +71,18 @@
 	return nil
 }
 
-// logTime tells the order of lines of several hosts to the millisecond.
-const logTime = "2006-01-02T15:04:05.000Z07:00"
+// logTimeFormat has milliseconds, so that the lines of several hosts can be merged in
+// order.
+const logTimeFormat = "2006-01-02T15:04:05.000Z07:00"
 
-// reservedDescriptors is what is left of a host's descriptors for files and
-// its own connections.
+// reservedDescriptors is the number of file descriptors kept for files and for
+// connections other than callers'.
 const reservedDescriptors = 600
 
+// minMaxSessions is the lower limit of MaxSessions on a host with few file
+// descriptors.
+const minMaxSessions = 100
+
 func runOnPlatform(s platformSettings) error {
 	if err := s.check(); err != nil {
 		return err
@@ -87,11 +91,11 @@
 	if err != nil {
 		return &exit.UsageError{Text: "--log-level: " + err.Error()}
 	}
-	without, err := mechanism.Parse(s.without)
+	disabled, err := mechanism.Parse(s.disabledMechanisms)
 	if err != nil {
 		return &exit.UsageError{Text: "--without: " + err.Error()}
 	}
-	zerolog.TimeFieldFormat = logTime
+	zerolog.TimeFieldFormat = logTimeFormat
 	out := eventlog.NewWriter(os.Stdout)
 	defer out.Close()
 	log := zerolog.New(out).Level(level).With().Timestamp().Logger()
@@ -99,14 +103,14 @@
 	if err != nil {
 		return &exit.UsageError{Text: err.Error()}
 	}
-	tuneCollector(boot.MemoryMB)
+	configureGC(boot.MemoryMB)
 	signals := make(chan os.Signal, 4)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT, syscall.SIGHUP)
-	h, err := entry.Start(entrySettings(s, boot, without), adapterFor(s, boot), entry.Dial, log)
+	h, err := entry.Start(entrySettings(s, boot, disabled), newAdapter(s, boot), entry.Dial, log)
 	if err != nil {
 		return err
 	}
-	w := &bootWatch{path: s.boot, log: log}
+	w := &bootWatcher{path: s.boot, log: log}
 	go w.run()
 	for {
 		select {
@@ -116,7 +120,7 @@
 				continue
 			}
 			if !h.Stop() {
-				return errForced
+				return errDrainTimeout
 			}
 			return nil
 		case err := <-h.Failed():
@@ -125,20 +129,20 @@
 	}
 }
 
-func adapterFor(s platformSettings, boot platform.Boot) entry.Adapter {
-	return onplatform.Adapter(onplatform.Options{
-		Host: boot.Host, Store: boot.StoreAddress, Promotion: boot.PromotionAddress,
-		Timeout: s.callTimeout, RequireTeams: boot.Teams,
+func newAdapter(s platformSettings, boot platform.Boot) entry.Adapter {
+	return onplatform.NewAdapter(onplatform.Options{
+		Host: boot.Host, StoreAddress: boot.StoreAddress, PromotionAddress: boot.PromotionAddress,
+		Timeout: s.callTimeout, RequireTeams: boot.RequireTeams,
 	})
 }
 
-func entrySettings(s platformSettings, boot platform.Boot, without mechanism.Disabled) entry.Settings {
+func entrySettings(s platformSettings, boot platform.Boot, disabled mechanism.Disabled) entry.Settings {
 	out := entry.Settings{
 		Host: boot.Host, Places: replicaset.Topology{Zone: boot.Zone, Regions: boot.Regions},
 		CallerAddress: boot.CallerAddress, ReadinessAddress: boot.ReadyAddress,
-		MaxSessions: max(boot.MaxDescriptors-reservedDescriptors, 100), Workers: s.workers,
-		GracePeriod: boot.Grace, DrainBound: boot.DrainBound, ConfigBound: boot.ConfigBound, QuotaTolerance: boot.Quota,
-		PeerAddress: net.JoinHostPort(boot.IP, strconv.Itoa(boot.PeerPort)), Disabled: without,
+		MaxSessions: max(boot.MaxFileDescriptors-reservedDescriptors, minMaxSessions), Workers: s.workers,
+		GracePeriod: boot.GracePeriod, DrainBound: boot.DrainTimeout, ConfigBound: boot.MaxConfigApplyTime, QuotaTolerance: boot.QuotaTolerance,
+		PeerAddress: net.JoinHostPort(boot.IP, strconv.Itoa(boot.PeerPort)), Disabled: disabled,
 	}
 	if s.metricsPort > 0 {
 		out.MetricsAddress = net.JoinHostPort(boot.IP, strconv.Itoa(s.metricsPort))
--- a/node/entry/helpers_test.go
+++ b/node/entry/helpers_test.go
@@ -145,7 +145,7 @@
 		MaxSessions: 1000, Workers: 256, GracePeriod: 2 * time.Second, DrainBound: 7 * time.Second,
 		QuotaTolerance: d.tolerance,
 	}
-	a := onplatform.Adapter(onplatform.Options{Host: name, Store: store, Promotion: d.platform.Address(), Timeout: time.Second})
+	a := onplatform.NewAdapter(onplatform.Options{Host: name, StoreAddress: store, PromotionAddress: d.platform.Address(), Timeout: time.Second})
 	h, err := entry.Start(s, a, d.dial, zerolog.New(d.logOutput()))
 	require.NoError(d.t, err)
 	d.t.Cleanup(h.Kill)
--- a/node/onplatform/adapter.go
+++ b/node/onplatform/adapter.go
@@ -1,5 +1,5 @@
-// Package onplatform puts the adapter to the users' platform together for one
-// host.
+// Package onplatform assembles the adapter that connects an entry host to the
+// users' platform.
 package onplatform
 
 import (
@@ -9,30 +9,29 @@
 	"github.com/dotterelswitch/dotterelswitch/platform"
 )
 
-// promotionTimeout bounds one promotion call. The platform answers in
-// milliseconds; a call whose answer is lost is repeated with the same token,
-// and callers wait for it.
+// promotionTimeout bounds one promotion call. It is short because callers wait for
+// the promotion and a call without a response is safely repeated with the same
+// token.
 const promotionTimeout = 600 * time.Millisecond
 
-// Options say how the platform is met.
+// Options configure the adapter.
 type Options struct {
 	// Host is this host's name.
 	Host string
-	// Store and Promotion are where the platform's calls go.
-	Store, Promotion string
-	// Timeout bounds each call but a watch.
+	// StoreAddress and PromotionAddress are the addresses of the platform's APIs.
+	StoreAddress, PromotionAddress string
+	// Timeout applies to every call except watches.
 	Timeout time.Duration
-	// RequireTeams refuses a configuration that asks callers for no key.
+	// RequireTeams rejects a configuration without teams.
 	RequireTeams bool
 }
 
-// Adapter returns the way to the platform.
-func Adapter(o Options) entry.Adapter {
+func NewAdapter(o Options) entry.Adapter {
 	client := entry.HTTPClient()
 	return entry.Adapter{
 		Callers: platform.CallerProtocol{}, Members: platform.MemberProtocol{}, Documents: platform.Documents{RequireTeams: o.RequireTeams},
-		Store:         platform.NewStoreClient(o.Store, client, o.Timeout),
-		Promotion:     platform.NewPromotionClient(o.Promotion, o.Host, client, min(o.Timeout, promotionTimeout)),
-		ReadinessPath: platform.ReadyPath,
+		Store:         platform.NewStoreClient(o.StoreAddress, client, o.Timeout),
+		Promotion:     platform.NewPromotionClient(o.PromotionAddress, o.Host, client, min(o.Timeout, promotionTimeout)),
+		ReadinessPath: platform.ReadinessPath,
 	}
 }
--- a/node/platformdemo/demo.go
+++ b/node/platformdemo/demo.go
@@ -124,7 +124,7 @@
 		if err != nil {
 			return hosts, nil, err
 		}
-		a := onplatform.Adapter(onplatform.Options{Host: s.Host, Store: p.Address(), Promotion: p.Address(), Timeout: callTimeout})
+		a := onplatform.NewAdapter(onplatform.Options{Host: s.Host, StoreAddress: p.Address(), PromotionAddress: p.Address(), Timeout: callTimeout})
 		h, err := entry.Start(s, a, entry.Dial, o.Log)
 		if err != nil {
 			return hosts, nil, err
--- a/node/soak/fleet.go
+++ b/node/soak/fleet.go
@@ -91,7 +91,7 @@
 	}
 	defer func() { _ = log.Close() }()
 	cmd := exec.Command(h.program, "platform", "--metrics-port", "0")
-	cmd.Env = append(os.Environ(), platform.BootVariable+"="+h.bootPath())
+	cmd.Env = append(os.Environ(), platform.BootEnvVar+"="+h.bootPath())
 	cmd.Stdout, cmd.Stderr = log, log
 	h.mu.Lock()
 	defer h.mu.Unlock()
