--- a/node/cmd/dotterelctl/soak.go
+++ b/node/cmd/dotterelctl/soak.go
@@ -75,7 +75,7 @@
 	}
 	report, err := soak.Run(ctx, soak.Options{
 		Program: c.String("program"), Dir: dir, Seed: seed, Hosts: int(c.Int("hosts")),
-		Callers: int(c.Int("callers")), Groups: int(c.Int("groups")), Length: c.Duration("duration"),
+		Callers: int(c.Int("callers")), Groups: int(c.Int("groups")), FaultPeriod: c.Duration("duration"),
 	})
 	if err != nil {
 		return nil, err
--- a/node/soak/caller.go
+++ b/node/soak/caller.go
@@ -13,110 +13,110 @@
 )
 
 const (
-	// statementTime is the routes' timeout, answerTimeout what a caller waits.
-	statementTime = 2 * time.Second
-	answerTimeout = 3 * statementTime
-	// maxPause bounds a caller's rest between statements.
-	maxPause = 20 * time.Millisecond
-	// sharedItems is how many items all callers read and write.
-	sharedItems = 40
-	// longSession bounds the operations of one session.
-	longSession = 60
-	// maxStatements bounds a transaction.
-	maxStatements = 4
+	// statementTimeout is the routes' timeout; answerTimeout is how long a caller
+	// waits for an answer.
+	statementTimeout = 2 * time.Second
+	answerTimeout    = 3 * statementTimeout
+	// maxThinkTime bounds a caller's pause between statements.
+	maxThinkTime = 20 * time.Millisecond
+	// sharedItems is the number of items that all callers read and write.
+	sharedItems              = 40
+	maxSessionOperations     = 60
+	maxTransactionStatements = 4
 )
 
-// caller runs operations one after the other.
+// caller runs operations sequentially, in one session after the other.
 type caller struct {
 	name  string
 	rng   *rand.Rand
-	fleet []*process
-	// group is the number of the group whose databases the caller uses.
+	hosts []*hostProcess
+	// group is the index of the database group that the caller uses.
 	group int
 	team  lineplatform.Team
 	history
 	sessions int
 }
 
-// talk is one session of a caller.
-type talk struct {
+// callerSession is one session of a caller.
+type callerSession struct {
 	*caller
-	session     *linecaller.Session
-	id          string
-	database    string
-	host        *process
-	incarnation int
-	values      map[string]string
-	shapes      map[string]string
-	tx          *transaction
+	session        *linecaller.Session
+	id             string
+	database       string
+	host           *hostProcess
+	incarnation    int
+	sessionValues  map[string]string
+	preparedShapes map[string]string
+	tx             *transaction
 }
 
-// run opens one session after the other until the context ends.
+// run opens sessions until the context is cancelled.
 func (c *caller) run(ctx context.Context) {
-	databases := []string{strict, bounded, own, own}
+	databases := []string{strictDatabase, boundedDatabase, readYourWritesDatabase, readYourWritesDatabase}
 	for ctx.Err() == nil {
 		c.sessions++
-		host := c.fleet[c.rng.IntN(len(c.fleet))]
-		t := &talk{
+		host := c.hosts[c.rng.IntN(len(c.hosts))]
+		t := &callerSession{
 			caller: c, id: fmt.Sprintf("%s-%d", c.name, c.sessions), database: databases[c.rng.IntN(len(databases))],
-			host: host, incarnation: host.running(), values: map[string]string{}, shapes: map[string]string{},
+			host: host, incarnation: host.currentIncarnation(), sessionValues: map[string]string{}, preparedShapes: map[string]string{},
 		}
-		session, err := linecaller.OpenWithKey(host.caller, databaseOf(c.group, t.database), c.team.Keys[0], t.id, answerTimeout)
+		session, err := linecaller.OpenWithKey(host.callerAddress, databaseOf(c.group, t.database), c.team.Keys[0], t.id, answerTimeout)
 		if err != nil {
-			// A host that is down or full; the platform would choose another.
-			c.rest()
+			// The host is down or at its session limit; the next session picks one again.
+			c.pause()
 			continue
 		}
 		t.session = session
-		for n := c.rng.IntN(longSession); n >= 0 && ctx.Err() == nil && t.operate(); n-- {
-			c.rest()
+		for n := c.rng.IntN(maxSessionOperations); n >= 0 && ctx.Err() == nil && t.runOperation(); n-- {
+			c.pause()
 		}
 		session.Close()
 	}
 }
 
-func (c *caller) rest() { time.Sleep(time.Duration(c.rng.Int64N(int64(maxPause)))) }
+func (c *caller) pause() { time.Sleep(time.Duration(c.rng.Int64N(int64(maxThinkTime)))) }
 
-// operate runs one operation; it reports whether the session lives on.
-func (t *talk) operate() bool {
+// runOperation runs a randomly chosen operation and reports whether the session
+// is still usable.
+func (t *callerSession) runOperation() bool {
 	switch p := t.rng.IntN(100); {
 	case p < 40:
-		return t.data(read) != nil
+		return t.runData(read) != nil
 	case p < 60:
-		return t.data(write) != nil
+		return t.runData(write) != nil
 	case p < 85:
-		return t.transact()
+		return t.runTransaction()
 	case p < 93:
-		return t.setValue()
+		return t.setSessionValue()
 	default:
-		return t.prepare()
+		return t.prepareOrDeallocate()
 	}
 }
 
-func (t *talk) item() string { return fmt.Sprintf("item%d", t.rng.IntN(sharedItems)) }
+func (t *callerSession) randomItem() string { return fmt.Sprintf("item%d", t.rng.IntN(sharedItems)) }
 
-// data runs a read or a write; it returns nil when the session is of no more
-// use.
-func (t *talk) data(v verb) *request {
-	if name, found := t.preparedFor(v); found && t.rng.IntN(2) == 0 {
-		text := "EXECUTE " + name + " " + t.item()
+// runData runs a read or a write, prepared or not. It returns nil when the
+// session is no longer usable.
+func (t *callerSession) runData(v verb) *request {
+	if name, found := t.preparedName(v); found && t.rng.IntN(2) == 0 {
+		text := "EXECUTE " + name + " " + t.randomItem()
 		if v == write {
 			text += " " + t.session.NextID()
 		}
-		return t.ask(v, text, t.shapes[name])
+		return t.execute(v, text, t.preparedShapes[name])
 	}
 	if v == write {
-		return t.ask(v, "STORE "+t.item()+" "+t.session.NextID(), "")
+		return t.execute(v, "STORE "+t.randomItem()+" "+t.session.NextID(), "")
 	}
-	return t.ask(v, "FETCH "+t.item(), "")
+	return t.execute(v, "FETCH "+t.randomItem(), "")
 }
 
-func (t *talk) preparedFor(v verb) (string, bool) {
+func (t *callerSession) preparedName(v verb) (string, bool) {
 	kind := "FETCH"
 	if v == write {
 		kind = "STORE"
 	}
-	for name, shape := range t.shapes {
+	for name, shape := range t.preparedShapes {
 		if strings.HasPrefix(shape, kind) {
 			return name, true
 		}
@@ -124,122 +124,124 @@
 	return "", false
 }
 
-// ask sends a statement that a member has to run, and notes what came of it.
-func (t *talk) ask(v verb, text, shape string) *request {
+// execute sends a statement that a member has to run and records its result.
+func (t *callerSession) execute(v verb, text, shape string) *request {
 	r := &request{
-		verb: v, text: text, shape: shape, database: t.database, team: t.team.Name, session: t.id, tx: t.tx,
-		host: t.host, incarnation: t.incarnation, values: t.valuesText(), sent: time.Now(),
+		verb: v, text: text, preparedShape: shape, database: t.database, team: t.team.Name, session: t.id, tx: t.tx,
+		host: t.host, incarnation: t.incarnation, sessionValues: t.encodeValues(), sentAt: time.Now(),
 	}
 	var err error
 	r.Answer, err = t.session.Run(text)
-	r.answered, r.lost = time.Now(), err != nil
+	r.answeredAt, r.unanswered = time.Now(), err != nil
 	t.requests = append(t.requests, r)
 	if v == write && t.tx != nil {
 		t.tx.writes = append(t.tx.writes, r)
 	}
 	if v == write && t.tx == nil && r.ok() {
-		t.commits = append(t.commits, acknowledged{at: r.answered, id: r.ID, session: t.id})
+		t.commits = append(t.commits, ackedCommit{at: r.answeredAt, requestID: r.ID, session: t.id})
 	}
-	if r.lost {
+	if r.unanswered {
 		return nil
 	}
 	return r
 }
 
-func (t *talk) valuesText() string {
+func (t *callerSession) encodeValues() string {
 	var names []string
-	for name := range t.values {
+	for name := range t.sessionValues {
 		names = append(names, name)
 	}
 	slices.Sort(names)
 	var b strings.Builder
 	for _, name := range names {
-		b.WriteString(name + "=" + t.values[name] + " ")
+		b.WriteString(name + "=" + t.sessionValues[name] + " ")
 	}
 	return b.String()
 }
 
-// control sends a statement that the system may answer itself; it reports
-// whether it succeeded.
-func (t *talk) control(text string) bool {
+// runControl sends a statement that the host may answer without a member. It
+// reports whether the statement succeeded.
+func (t *callerSession) runControl(text string) bool {
 	a, err := t.session.Run(text)
 	return err == nil && a.Code == ""
 }
 
-func (t *talk) setValue() bool {
+func (t *callerSession) setSessionValue() bool {
 	name, value := fmt.Sprintf("name%d", t.rng.IntN(3)), fmt.Sprintf("v%d", t.rng.IntN(4))
-	if !t.control("SET " + name + " " + value) {
+	if !t.runControl("SET " + name + " " + value) {
 		return false
 	}
-	t.values[name] = value
+	t.sessionValues[name] = value
 	return true
 }
 
-func (t *talk) prepare() bool {
+func (t *callerSession) prepareOrDeallocate() bool {
 	name := fmt.Sprintf("s%d", t.rng.IntN(3))
-	if _, found := t.shapes[name]; found {
-		delete(t.shapes, name)
-		return t.control("DEALLOC " + name)
+	if _, found := t.preparedShapes[name]; found {
+		delete(t.preparedShapes, name)
+		return t.runControl("DEALLOC " + name)
 	}
 	shape := []string{"FETCH", "STORE"}[t.rng.IntN(2)] + fmt.Sprintf(" q%d", t.rng.IntN(5))
-	if !t.control("PREPARE " + name + " " + shape) {
+	if !t.runControl("PREPARE " + name + " " + shape) {
 		return false
 	}
-	t.shapes[name] = shape
+	t.preparedShapes[name] = shape
 	return true
 }
 
-// transact runs one transaction; it reports whether the session lives on.
-func (t *talk) transact() bool {
-	tx := &transaction{began: time.Now(), outcome: notKept}
+// runTransaction runs one transaction and reports whether the session is still
+// usable.
+func (t *callerSession) runTransaction() bool {
+	tx := &transaction{beganAt: time.Now(), result: notCommitted}
 	readOnly := t.rng.IntN(2) == 0
 	begin := "BEGIN"
 	if readOnly {
 		begin = "BEGIN FETCH"
 	}
-	if !t.control(begin) {
+	if !t.runControl(begin) {
 		return false
 	}
 	t.tx = tx
 	defer func() { t.tx = nil }()
-	for range 1 + t.rng.IntN(maxStatements) {
+	for range 1 + t.rng.IntN(maxTransactionStatements) {
 		v := read
 		if !readOnly && t.rng.IntN(2) == 0 {
 			v = write
 		}
-		r := t.data(v)
+		r := t.runData(v)
 		if r == nil {
 			return false
 		}
 		if !r.ok() {
-			// The session ends outside of a transaction only after a rollback.
-			return r.State == "I" || t.control("ROLLBACK")
+			// A transaction that failed but is still open has to be rolled back.
+			return r.State == "I" || t.runControl("ROLLBACK")
 		}
-		t.rest()
+		t.pause()
 	}
-	return t.finish(tx)
+	return t.endTransaction(tx)
 }
 
-// finish ends a transaction in one of three ways.
-func (t *talk) finish(tx *transaction) bool {
+// endTransaction disconnects, rolls back or commits, and reports whether the
+// session is still usable.
+func (t *callerSession) endTransaction(tx *transaction) bool {
 	switch p := t.rng.IntN(10); {
 	case p == 0:
 		return false
 	case p < 3:
-		return t.control("ROLLBACK")
+		return t.runControl("ROLLBACK")
 	}
-	tx.outcome = unknown
-	r := t.ask(commit, "COMMIT", "")
+	tx.result = outcomeUnknown
+	r := t.execute(commit, "COMMIT", "")
 	switch {
 	case r == nil:
 		return false
 	case r.ok():
-		tx.outcome = kept
+		tx.result = committed
 		if len(tx.writes) > 0 {
-			t.commits = append(t.commits, acknowledged{at: r.answered, id: tx.writes[0].ID, session: t.id})
+			t.commits = append(t.commits, ackedCommit{at: r.answeredAt, requestID: tx.writes[0].ID, session: t.id})
 		}
 	case linecaller.Promised(r.Code):
-		tx.outcome = notKept
+		tx.result = notCommitted
 	}
 	return true
 }
--- a/node/soak/check.go
+++ b/node/soak/check.go
@@ -10,85 +10,85 @@
 	"github.com/dotterelswitch/dotterelswitch/standin/lineplatform"
 )
 
-// evidence is what the members ran and kept.
-type evidence struct {
+// groupRecord is what the members of a group executed and committed.
+type groupRecord struct {
 	runs []lineplatform.Run
-	// starts are the promotions, as in lineplatform.Group.Starts.
-	starts []lineplatform.Place
-	// committed is how often a request's write was kept, commit where.
-	committed func(id string) int
-	commit    func(id string) lineplatform.Place
+	// termStarts are the positions of the promotions, as in lineplatform.Group.Starts.
+	termStarts []lineplatform.Place
+	// commitCount returns how often the write of a request was committed, and
+	// commitPosition at which position.
+	commitCount    func(id string) int
+	commitPosition func(id string) lineplatform.Place
 }
 
-// checker holds what callers saw against the evidence.
+// checker compares what callers observed with what the members executed.
 type checker struct {
-	evidence
-	found *findings
-	// runsOf finds the runs of a request.
-	runsOf map[string][]lineplatform.Run
+	groupRecord
+	findings      *findings
+	runsByRequest map[string][]lineplatform.Run
 }
 
-// check reports every promise that was broken.
-func check(e evidence, histories []history, found *findings) {
-	c := &checker{evidence: e, found: found, runsOf: map[string][]lineplatform.Run{}}
+// check reports every violated guarantee.
+func check(e groupRecord, histories []history, found *findings) {
+	c := &checker{groupRecord: e, findings: found, runsByRequest: map[string][]lineplatform.Run{}}
 	for _, run := range e.runs {
-		c.runsOf[run.ID] = append(c.runsOf[run.ID], run)
+		c.runsByRequest[run.ID] = append(c.runsByRequest[run.ID], run)
 	}
-	known := map[string]*request{}
-	var acks []acknowledged
+	requests := map[string]*request{}
+	var acks []ackedCommit
 	for _, h := range histories {
 		acks = append(acks, h.commits...)
 		for _, r := range h.requests {
-			known[r.ID] = r
+			requests[r.ID] = r
 		}
 	}
-	required := newRequirement(acks, e)
-	for _, r := range known {
+	acked := newAckedCommits(acks, e)
+	for _, r := range requests {
 		c.checkRuns(r)
 		c.checkTeams(r)
 		c.checkAnswer(r)
-		c.checkKept(r)
+		c.checkCommitted(r)
 		if r.verb == read && r.ok() {
-			c.checkFresh(r, required)
+			c.checkFreshness(r, acked)
 		}
 	}
 	for _, a := range acks {
-		if c.committed(a.id) != 1 {
-			found.add("%s was acknowledged and kept %d times", a.id, c.committed(a.id))
+		if c.commitCount(a.requestID) != 1 {
+			found.add("%s was acknowledged and kept %d times", a.requestID, c.commitCount(a.requestID))
 		}
 	}
-	c.checkTransactions(known)
+	c.checkTransactions(requests)
 }
 
-// checkRuns holds the runs of a request against what its caller sent.
+// checkRuns compares the executions of a request with what its caller sent.
 func (c *checker) checkRuns(r *request) {
-	for _, run := range c.runsOf[r.ID] {
-		if run.Text != r.text && (r.shape == "" || afterName(run.Text) != afterName(r.text)) {
-			c.found.add("%s ran as %q, sent was %q", r.ID, run.Text, r.text)
+	for _, run := range c.runsByRequest[r.ID] {
+		if run.Text != r.text && (r.preparedShape == "" || afterStatementName(run.Text) != afterStatementName(r.text)) {
+			c.findings.add("%s ran as %q, sent was %q", r.ID, run.Text, r.text)
 		}
-		if run.Values != r.values && r.verb != commit {
-			c.found.add("%s ran with the values %q, acknowledged were %q", r.ID, run.Values, r.values)
+		if run.Values != r.sessionValues && r.verb != commit {
+			c.findings.add("%s ran with the values %q, acknowledged were %q", r.ID, run.Values, r.sessionValues)
 		}
-		if run.Shape != r.shape {
-			c.found.add("%s ran as prepared %q, its caller prepared %q", r.ID, run.Shape, r.shape)
+		if run.Shape != r.preparedShape {
+			c.findings.add("%s ran as prepared %q, its caller prepared %q", r.ID, run.Shape, r.preparedShape)
 		}
 	}
 }
 
-// afterName cuts the prepared name, which the system may change, off the text
-// of an execution.
-func afterName(text string) string {
+// afterStatementName returns the text of an execution without the name of the
+// prepared statement, which hosts may rename.
+func afterStatementName(text string) string {
 	_, rest, _ := strings.Cut(text, " ")
 	_, rest, _ = strings.Cut(rest, " ")
 	return rest
 }
 
-// checkAnswer holds a success against the run that it must come from.
+// checkAnswer checks that a successful answer was given by a member.
 func (c *checker) checkAnswer(r *request) {
 	if !r.ok() {
 		return
 	}
-	for _, run := range c.runsOf[r.ID] {
+	for _, run := range c.runsByRequest[r.ID] {
 		rows := []string{run.Row}
 		if r.verb != read {
 			rows = nil
@@ -97,43 +97,44 @@
 			return
 		}
 	}
-	c.found.add("%s succeeded with signature %q and rows %q, which no member gave", r.ID, r.Signature, r.Rows)
+	c.findings.add("%s succeeded with signature %q and rows %q, which no member gave", r.ID, r.Signature, r.Rows)
 }
 
-// checkKept holds what a caller was told of a write against what was kept.
-func (c *checker) checkKept(r *request) {
+// checkCommitted compares what a caller was told about a write with what was
+// committed.
+func (c *checker) checkCommitted(r *request) {
 	if r.verb != write {
 		return
 	}
-	n := c.committed(r.ID)
+	n := c.commitCount(r.ID)
 	switch {
 	case n > 1:
-		c.found.add("%s was kept %d times", r.ID, n)
-	case n == 1 && r.tx == nil && !r.lost && linecaller.Promised(r.Code):
-		c.found.add("%s was kept though it was refused with %s", r.ID, r.Code)
-	case n == 1 && r.tx != nil && r.tx.outcome == notKept:
-		c.found.add("%s was kept though its transaction was not", r.ID)
-	case n == 0 && r.tx != nil && r.tx.outcome == kept:
-		c.found.add("%s was not kept though its transaction was acknowledged", r.ID)
+		c.findings.add("%s was kept %d times", r.ID, n)
+	case n == 1 && r.tx == nil && !r.unanswered && linecaller.Promised(r.Code):
+		c.findings.add("%s was kept though it was refused with %s", r.ID, r.Code)
+	case n == 1 && r.tx != nil && r.tx.result == notCommitted:
+		c.findings.add("%s was kept though its transaction was not", r.ID)
+	case n == 0 && r.tx != nil && r.tx.result == committed:
+		c.findings.add("%s was not kept though its transaction was acknowledged", r.ID)
 	}
 }
 
-// checkTransactions finds statements that ran in a transaction that is not
-// their caller's, or outside of their own.
-func (c *checker) checkTransactions(known map[string]*request) {
+// checkTransactions finds statements that ran in another caller's transaction, or
+// outside of their own.
+func (c *checker) checkTransactions(requests map[string]*request) {
 	users := map[uint64]*request{}
 	for _, run := range c.runs {
-		r, found := known[run.ID]
-		if strings.HasPrefix(run.ID, serviceCaller) {
+		r, found := requests[run.ID]
+		if strings.HasPrefix(run.ID, serviceCheckPrefix) {
 			continue
 		}
 		if !found {
-			c.found.add("%s ran, which no caller sent", run.ID)
+			c.findings.add("%s ran, which no caller sent", run.ID)
 			continue
 		}
 		if run.Tx == 0 {
 			if r.tx != nil {
-				c.found.add("%s ran outside of its transaction", run.ID)
+				c.findings.add("%s ran outside of its transaction", run.ID)
 			}
 			continue
 		}
@@ -143,105 +144,105 @@
 			continue
 		}
 		if first.tx != r.tx || (r.tx == nil && first != r) {
-			c.found.add("%s and %s ran in one transaction", first.ID, run.ID)
+			c.findings.add("%s and %s ran in one transaction", first.ID, run.ID)
 		}
 	}
 }
 
-// checkFresh finds a read on a log that lacks what it had to show.
-func (c *checker) checkFresh(r *request, required *requirement) {
-	need := required.before(r.began().Add(-staleness[r.database]))
-	if r.database == own {
-		need = later(need, required.of(r.session, r.began()))
+// checkFreshness finds reads from a log that lacked a commit they had to include.
+func (c *checker) checkFreshness(r *request, acked *ackedCommits) {
+	minimum := acked.latestBefore(r.startTime().Add(-maxStaleness[r.database]))
+	if r.database == readYourWritesDatabase {
+		minimum = laterOf(minimum, acked.latestOfSession(r.session, r.startTime()))
 	}
-	for _, run := range c.runsOf[r.ID] {
-		if run.Member != memberOf(r.Signature, r.ID) {
+	for _, run := range c.runsByRequest[r.ID] {
+		if run.Member != signingMember(r.Signature, r.ID) {
 			continue
 		}
-		if less(place(run.Position), need) {
-			c.found.add("%s in %s read at %s on %s, which lacks %s", r.ID, r.database, run.Position, run.Member, need)
+		if isBefore(mustParsePosition(run.Position), minimum) {
+			c.findings.add("%s in %s read at %s on %s, which lacks %s", r.ID, r.database, run.Position, run.Member, minimum)
 		}
 	}
 }
 
-// memberOf returns the member that signed.
-func memberOf(signature, id string) string {
+// signingMember returns the member that signed an answer.
+func signingMember(signature, id string) string {
 	return strings.TrimSuffix(strings.TrimPrefix(signature, "sig-"), "-"+id)
 }
 
-// place parses a member's position.
-func place(position string) lineplatform.Place {
+func mustParsePosition(position string) lineplatform.Place {
 	p, err := lineplatform.ParsePlace(position)
 	if err != nil {
-		// The stand-in writes positions itself.
-		panic("soak: a position that is none: " + position)
+		// Positions come from the stand-in, not from callers.
+		panic("soak: invalid position " + position)
 	}
 	return p
 }
 
-func less(a, b lineplatform.Place) bool {
+func isBefore(a, b lineplatform.Place) bool {
 	return a.Term < b.Term || (a.Term == b.Term && a.Number < b.Number)
 }
 
-func later(a, b lineplatform.Place) lineplatform.Place {
-	if less(a, b) {
+func laterOf(a, b lineplatform.Place) lineplatform.Place {
+	if isBefore(a, b) {
 		return b
 	}
 	return a
 }
 
-// requirement tells which commits a read must show.
-type requirement struct {
-	// commits are in the order of their acknowledgement; those that a promotion
-	// rolled back are left out.
-	commits []acknowledgedAt
+// ackedCommits determines which commits a read must include.
+type ackedCommits struct {
+	// commits are in the order of acknowledgement, without those that a promotion
+	// rolled back.
+	commits []positionedCommit
 }
 
-type acknowledgedAt struct {
-	acknowledged
-	place lineplatform.Place
-	// highest is the latest place up to this one.
-	highest lineplatform.Place
+type positionedCommit struct {
+	ackedCommit
+	position lineplatform.Place
+	// maxPosition is the latest position among this and the earlier commits.
+	maxPosition lineplatform.Place
 }
 
-func newRequirement(acks []acknowledged, e evidence) *requirement {
-	q := &requirement{}
+func newAckedCommits(acks []ackedCommit, e groupRecord) *ackedCommits {
+	q := &ackedCommits{}
 	for _, a := range acks {
-		if p := e.commit(a.id); !e.rolledBack(p) {
-			q.commits = append(q.commits, acknowledgedAt{acknowledged: a, place: p})
+		if p := e.commitPosition(a.requestID); !e.rolledBack(p) {
+			q.commits = append(q.commits, positionedCommit{ackedCommit: a, position: p})
 		}
 	}
-	slices.SortFunc(q.commits, func(a, b acknowledgedAt) int { return a.at.Compare(b.at) })
-	var highest lineplatform.Place
+	slices.SortFunc(q.commits, func(a, b positionedCommit) int { return a.at.Compare(b.at) })
+	var maxPosition lineplatform.Place
 	for i := range q.commits {
-		highest = later(highest, q.commits[i].place)
-		q.commits[i].highest = highest
+		maxPosition = laterOf(maxPosition, q.commits[i].position)
+		q.commits[i].maxPosition = maxPosition
 	}
 	return q
 }
 
-// rolledBack reports whether a promotion dropped a place.
-func (e evidence) rolledBack(p lineplatform.Place) bool {
-	return slices.ContainsFunc(e.starts, func(s lineplatform.Place) bool {
+// rolledBack reports whether a promotion discarded a position.
+func (e groupRecord) rolledBack(p lineplatform.Place) bool {
+	return slices.ContainsFunc(e.termStarts, func(s lineplatform.Place) bool {
 		return s.Term > p.Term && p.Number > s.Number
 	})
 }
 
-// before returns the latest place that was acknowledged before a time.
-func (q *requirement) before(t time.Time) lineplatform.Place {
-	n, _ := slices.BinarySearchFunc(q.commits, t, func(a acknowledgedAt, t time.Time) int { return a.at.Compare(t) })
+// latestBefore returns the latest position acknowledged before a time.
+func (q *ackedCommits) latestBefore(t time.Time) lineplatform.Place {
+	n, _ := slices.BinarySearchFunc(q.commits, t, func(a positionedCommit, t time.Time) int { return a.at.Compare(t) })
 	if n == 0 {
 		return lineplatform.Place{}
 	}
-	return q.commits[n-1].highest
+	return q.commits[n-1].maxPosition
 }
 
-// of returns the latest place that a session committed before a time.
-func (q *requirement) of(session string, t time.Time) lineplatform.Place {
+// latestOfSession returns the latest position that a session committed before a
+// time.
+func (q *ackedCommits) latestOfSession(session string, t time.Time) lineplatform.Place {
 	var out lineplatform.Place
 	for _, a := range q.commits {
 		if a.session == session && a.at.Before(t) {
-			out = later(out, a.place)
+			out = laterOf(out, a.position)
 		}
 	}
 	return out
--- a/node/soak/check_test.go
+++ b/node/soak/check_test.go
@@ -11,131 +11,130 @@
 	"github.com/dotterelswitch/dotterelswitch/standin/lineplatform"
 )
 
-var start = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
+var epoch = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-func at(ms int) time.Time { return start.Add(time.Duration(ms) * time.Millisecond) }
+func atMillis(ms int) time.Time { return epoch.Add(time.Duration(ms) * time.Millisecond) }
 
-// scene is a small history with its evidence, in which every promise holds: a
-// write, a later strict read of it, and a transaction with a write.
-type scene struct {
+// testHistory is a short history without violations, and the group's record of it:
+// a write, a later strict read of it, and a transaction with one write.
+type testHistory struct {
 	history
-	evidence
-	kept    map[string]int
-	places  map[string]lineplatform.Place
-	written *request
-	read    *request
-	tx      *transaction
-	inTx    *request
-	commit  *request
+	groupRecord
+	commitCounts    map[string]int
+	commitPositions map[string]lineplatform.Place
+	writeRequest    *request
+	readRequest     *request
+	tx              *transaction
+	txWrite         *request
+	txCommit        *request
 }
 
-func newScene() *scene {
-	s := &scene{
-		kept:   map[string]int{"w": 1, "tw": 1},
-		places: map[string]lineplatform.Place{"w": {Term: 1, Number: 5}, "tw": {Term: 1, Number: 7}},
+func newTestHistory() *testHistory {
+	s := &testHistory{
+		commitCounts:    map[string]int{"w": 1, "tw": 1},
+		commitPositions: map[string]lineplatform.Place{"w": {Term: 1, Number: 5}, "tw": {Term: 1, Number: 7}},
 	}
 	answer := func(id string, rows ...string) linecaller.Answer {
 		return linecaller.Answer{ID: id, Signature: "sig-m-" + id, Rows: rows, State: "I"}
 	}
-	s.tx = &transaction{began: at(40), outcome: kept}
-	s.written = &request{Answer: answer("w"), verb: write, text: "STORE a w", database: strict, session: "s1", sent: at(0), answered: at(10)}
-	s.read = &request{Answer: answer("r", "w"), verb: read, text: "FETCH a", database: strict, session: "s2", sent: at(20), answered: at(30)}
-	s.inTx = &request{Answer: answer("tw"), verb: write, text: "STORE b tw", database: strict, session: "s1", tx: s.tx, sent: at(41), answered: at(45)}
-	s.commit = &request{Answer: answer("tc"), verb: commit, text: "COMMIT", database: strict, session: "s1", tx: s.tx, sent: at(46), answered: at(50)}
-	s.tx.writes = []*request{s.inTx}
-	s.requests = []*request{s.written, s.read, s.inTx, s.commit}
-	s.commits = []acknowledged{{at: at(10), id: "w", session: "s1"}, {at: at(50), id: "tw", session: "s1"}}
+	s.tx = &transaction{beganAt: atMillis(40), result: committed}
+	s.writeRequest = &request{Answer: answer("w"), verb: write, text: "STORE a w", database: strictDatabase, session: "s1", sentAt: atMillis(0), answeredAt: atMillis(10)}
+	s.readRequest = &request{Answer: answer("r", "w"), verb: read, text: "FETCH a", database: strictDatabase, session: "s2", sentAt: atMillis(20), answeredAt: atMillis(30)}
+	s.txWrite = &request{Answer: answer("tw"), verb: write, text: "STORE b tw", database: strictDatabase, session: "s1", tx: s.tx, sentAt: atMillis(41), answeredAt: atMillis(45)}
+	s.txCommit = &request{Answer: answer("tc"), verb: commit, text: "COMMIT", database: strictDatabase, session: "s1", tx: s.tx, sentAt: atMillis(46), answeredAt: atMillis(50)}
+	s.tx.writes = []*request{s.txWrite}
+	s.requests = []*request{s.writeRequest, s.readRequest, s.txWrite, s.txCommit}
+	s.commits = []ackedCommit{{at: atMillis(10), requestID: "w", session: "s1"}, {at: atMillis(50), requestID: "tw", session: "s1"}}
 	s.runs = []lineplatform.Run{
 		{ID: "w", Member: "m", Text: "STORE a w", Position: "1.4"},
 		{ID: "r", Member: "m", Text: "FETCH a", Position: "1.5", Row: "w"},
 		{ID: "tw", Member: "m", Text: "STORE b tw", Position: "1.6", Tx: 3},
 		{ID: "tc", Member: "m", Text: "COMMIT", Position: "1.6", Tx: 3},
 	}
-	s.committed = func(id string) int { return s.kept[id] }
-	s.evidence.commit = func(id string) lineplatform.Place { return s.places[id] }
+	s.commitCount = func(id string) int { return s.commitCounts[id] }
+	s.groupRecord.commitPosition = func(id string) lineplatform.Place { return s.commitPositions[id] }
 	return s
 }
 
-func (s *scene) findings() []string {
+func (s *testHistory) findings() []string {
 	var f findings
-	check(s.evidence, []history{s.history}, &f)
+	check(s.groupRecord, []history{s.history}, &f)
 	return f.all()
 }
 
-func TestNothingIsFoundWhereAllPromisesHold(t *testing.T) {
-	require.Empty(t, newScene().findings())
+func TestNoFindingsForCorrectHistory(t *testing.T) {
+	require.Empty(t, newTestHistory().findings())
 }
 
-// TestEachBrokenPromiseIsFound breaks one promise at a time.
-func TestEachBrokenPromiseIsFound(t *testing.T) {
-	for _, broken := range []struct {
+func TestEachViolationIsFound(t *testing.T) {
+	for _, c := range []struct {
 		name, finding string
-		harm          func(s *scene)
+		violate       func(s *testHistory)
 	}{
-		{"kept twice", "w was kept 2 times", func(s *scene) { s.kept["w"] = 2 }},
-		{"acknowledged and lost", "w was acknowledged and kept 0 times", func(s *scene) { s.kept["w"] = 0 }},
-		{"kept though refused", "kept though it was refused with BUSY", func(s *scene) {
-			s.written.Code, s.commits = "BUSY", s.commits[1:]
+		{"committed twice", "w was kept 2 times", func(s *testHistory) { s.commitCounts["w"] = 2 }},
+		{"acknowledged but not committed", "w was acknowledged and kept 0 times", func(s *testHistory) { s.commitCounts["w"] = 0 }},
+		{"committed though refused", "kept though it was refused with BUSY", func(s *testHistory) {
+			s.writeRequest.Code, s.commits = "BUSY", s.commits[1:]
 		}},
-		{"rolled back and kept", "tw was kept though its transaction was not", func(s *scene) {
-			s.tx.outcome, s.commits = notKept, s.commits[:1]
+		{"committed though rolled back", "tw was kept though its transaction was not", func(s *testHistory) {
+			s.tx.result, s.commits = notCommitted, s.commits[:1]
 		}},
-		{"another's answer", "which no member gave", func(s *scene) { s.read.Signature = "sig-m-w" }},
-		{"other rows", "which no member gave", func(s *scene) { s.read.Rows = []string{"x"} }},
-		{"stale read", "which lacks 1.5", func(s *scene) { s.runs[1].Position = "1.4" }},
-		{"read in an older term", "which lacks 2.1", func(s *scene) { s.places["w"] = lineplatform.Place{Term: 2, Number: 1} }},
-		{"own write not seen", "which lacks 1.5", func(s *scene) {
-			s.read.database, s.read.session, s.runs[1].Position = own, "s1", "1.4"
+		{"answer to another request", "which no member gave", func(s *testHistory) { s.readRequest.Signature = "sig-m-w" }},
+		{"wrong rows", "which no member gave", func(s *testHistory) { s.readRequest.Rows = []string{"x"} }},
+		{"stale read", "which lacks 1.5", func(s *testHistory) { s.runs[1].Position = "1.4" }},
+		{"read in an older term", "which lacks 2.1", func(s *testHistory) { s.commitPositions["w"] = lineplatform.Place{Term: 2, Number: 1} }},
+		{"own write not seen", "which lacks 1.5", func(s *testHistory) {
+			s.readRequest.database, s.readRequest.session, s.runs[1].Position = readYourWritesDatabase, "s1", "1.4"
 		}},
-		{"changed text", `ran as "FETCH b"`, func(s *scene) { s.runs[1].Text = "FETCH b" }},
-		{"another's values", "acknowledged were", func(s *scene) { s.runs[1].Values = "name0=v1 " }},
-		{"another shape", "its caller prepared", func(s *scene) { s.runs[1].Shape = "FETCH q1" }},
-		{"nobody asked", "which no caller sent", func(s *scene) { s.runs = append(s.runs, lineplatform.Run{ID: "x"}) }},
-		{"outside of its transaction", "ran outside of its transaction", func(s *scene) { s.runs[2].Tx = 0 }},
-		{"transactions mix", "ran in one transaction", func(s *scene) { s.runs[1].Tx = 3 }},
+		{"changed statement text", `ran as "FETCH b"`, func(s *testHistory) { s.runs[1].Text = "FETCH b" }},
+		{"wrong session values", "acknowledged were", func(s *testHistory) { s.runs[1].Values = "name0=v1 " }},
+		{"wrong prepared shape", "its caller prepared", func(s *testHistory) { s.runs[1].Shape = "FETCH q1" }},
+		{"statement that no caller sent", "which no caller sent", func(s *testHistory) { s.runs = append(s.runs, lineplatform.Run{ID: "x"}) }},
+		{"run outside of its transaction", "ran outside of its transaction", func(s *testHistory) { s.runs[2].Tx = 0 }},
+		{"statements of two transactions mixed", "ran in one transaction", func(s *testHistory) { s.runs[1].Tx = 3 }},
 	} {
-		t.Run(broken.name, func(t *testing.T) {
-			s := newScene()
-			broken.harm(s)
-			require.Contains(t, strings.Join(s.findings(), "\n"), broken.finding)
+		t.Run(c.name, func(t *testing.T) {
+			s := newTestHistory()
+			c.violate(s)
+			require.Contains(t, strings.Join(s.findings(), "\n"), c.finding)
 		})
 	}
 }
 
-// TestStopMustNotCutWhatAMemberRuns, nor what the host has had for a while.
-func TestStopMustNotCutWhatAMemberRuns(t *testing.T) {
-	host, other := &process{name: "a"}, &process{name: "b"}
-	s := stop{host: host, incarnation: 2, at: at(1000)}
-	lost := request{host: host, incarnation: 2, sent: at(1500), answered: at(1510), lost: true}
-	require.True(t, s.cut(&lost, true))
-	require.False(t, s.cut(&lost, false), "it may have come too late to be read")
-	lost.answered = at(1500 + int(lossSlack.Milliseconds()) + 1)
-	require.True(t, s.cut(&lost, false))
+// A stop interrupts a request that a member ran or that the host has had time to
+// read.
+func TestPlannedStopInterruptsRequests(t *testing.T) {
+	host, other := &hostProcess{name: "a"}, &hostProcess{name: "b"}
+	s := plannedStop{host: host, incarnation: 2, at: atMillis(1000)}
+	unanswered := request{host: host, incarnation: 2, sentAt: atMillis(1500), answeredAt: atMillis(1510), unanswered: true}
+	require.True(t, s.interrupted(&unanswered, true))
+	require.False(t, s.interrupted(&unanswered, false), "the host may not have read the request")
+	unanswered.answeredAt = atMillis(1500 + int(unreadRequestTolerance.Milliseconds()) + 1)
+	require.True(t, s.interrupted(&unanswered, false))
 	for _, change := range []func(q *request){
-		func(q *request) { q.lost = false },
+		func(q *request) { q.unanswered = false },
 		func(q *request) { q.host = other },
 		func(q *request) { q.incarnation = 1 },
-		func(q *request) { q.sent, q.answered = at(900), at(990) },
+		func(q *request) { q.sentAt, q.answeredAt = atMillis(900), atMillis(990) },
 	} {
-		q := lost
+		q := unanswered
 		change(&q)
-		require.False(t, s.cut(&q, true))
+		require.False(t, s.interrupted(&q, true))
 	}
 }
 
-// TestRolledBackCommitsNeedNotShow: a promotion without confirmation drops what
-// its member had not received.
-func TestRolledBackCommitsNeedNotShow(t *testing.T) {
-	s := newScene()
+// A promotion discards commits that the new primary had not received.
+func TestRolledBackCommitsAreNotRequired(t *testing.T) {
+	s := newTestHistory()
 	s.runs[1].Position = "1.4"
-	s.starts = []lineplatform.Place{{Term: 2, Number: 4}}
+	s.termStarts = []lineplatform.Place{{Term: 2, Number: 4}}
 	require.Empty(t, s.findings())
 }
 
-func TestOlderCommitsNeedNotShowWithinTheBound(t *testing.T) {
-	s := newScene()
-	s.read.database, s.runs[1].Position = bounded, "1.4"
+func TestBoundedReadMayMissRecentCommits(t *testing.T) {
+	s := newTestHistory()
+	s.readRequest.database, s.runs[1].Position = boundedDatabase, "1.4"
 	require.Empty(t, s.findings())
-	s.read.sent = at(10 + int(staleness[bounded].Milliseconds()) + 1)
+	s.readRequest.sentAt = atMillis(10 + int(maxStaleness[boundedDatabase].Milliseconds()) + 1)
 	require.NotEmpty(t, s.findings())
 }
--- a/node/soak/event.go
+++ b/node/soak/event.go
@@ -1,6 +1,6 @@
-// Package soak runs hosts as processes of their own against the stand-in of the
-// users' platform, harms them from outside, and holds what callers saw against
-// what the members ran. A seed decides everything but the processes' timing.
+// Package soak runs hosts as separate processes against the stand-in of the
+// users' platform, injects faults from outside, and compares what callers observed
+// with what the members executed. A seed determines everything except timing.
 package soak
 
 import (
@@ -13,55 +13,56 @@
 
 // The kinds of faults.
 const (
-	// KillHost ends a host's process at once; it starts again.
+	// KillHost sends SIGKILL to a host's process, which is restarted.
 	KillHost Kind = iota
-	// KillMany does so to half of the hosts at the same moment.
+	// KillMany does the same to half of the hosts at once.
 	KillMany
-	// StopHost asks a host's process to end, within its grace.
+	// StopHost shuts a host's process down within its grace period.
 	StopHost
 	// PauseHost suspends a host's process for a while.
 	PauseHost
-	// ReloadHost tells a host that its settings file has changed.
+	// ReloadHost makes a host reload its settings file.
 	ReloadHost
-	// CutStore holds all data between one host and the platform back.
-	CutStore
-	// SilenceStore makes one host's connections to the platform silent for good.
+	// StallStore withholds all data between one host and the platform.
+	StallStore
+	// SilenceStore makes one host's open connections to the platform unresponsive
+	// for the rest of their life.
 	SilenceStore
-	// StoreRefuses, StoreSilent and StoreLosesAnswers harm the store itself.
+	// StoreRefuses, StoreSilent and StoreLosesAnswers make the store itself fail.
 	StoreRefuses
 	StoreSilent
 	StoreLosesAnswers
-	// StoreForgets drops the store's history.
-	StoreForgets
-	// CrashMember ends a member, with its log kept; it starts again.
+	// CompactStore drops the store's history of revisions.
+	CompactStore
+	// CrashMember stops a member and restarts it with its log intact.
 	CrashMember
-	// CrashPrimary does so to the primary.
+	// CrashPrimary does the same to the primary.
 	CrashPrimary
-	// DrainPrimary has the primary announce its leave; a new member follows.
+	// DrainPrimary drains the primary and adds a new member in its place.
 	DrainPrimary
-	// DelayMember, HoldToMember and HoldFromMember harm the way to a member,
-	// ResetMember and SilenceMember its open connections.
+	// DelayMember, HoldToMember and HoldFromMember disturb the network path to a
+	// member, ResetMember and SilenceMember its open connections.
 	DelayMember
 	HoldToMember
 	HoldFromMember
 	ResetMember
 	SilenceMember
-	// DeafReplica stops a replica from receiving.
-	DeafReplica
-	// LoseAnswers has a member run statements without answering.
+	// StopReplication stops a replica from receiving the log.
+	StopReplication
+	// LoseAnswers makes a member run statements without answering.
 	LoseAnswers
-	// RefusePromotion has the platform turn promotion calls away.
+	// RefusePromotion makes the platform refuse promotion calls.
 	RefusePromotion
-	// ChangeConfig adds one route and removes another.
+	// ChangeConfig publishes a configuration that adds one route and removes another.
 	ChangeConfig
-	// EmptyMember and EmptyPrimary end a member; it starts again under its id without
-	// its log, and as a replica.
-	EmptyMember
-	EmptyPrimary
-	// ForeignEntry has another writer leave something among the members' entries, and
-	// over one of them.
+	// WipeMember and WipePrimary stop a member and restart it as a replica under the
+	// same id, without its log.
+	WipeMember
+	WipePrimary
+	// ForeignEntry writes an invalid value among the members' entries in the store
+	// and overwrites one of them.
 	ForeignEntry
-	// RestoreStore has the store return from a copy that is as old as the fault is
+	// RestoreStore restores the store from a copy that is as old as the fault is
 	// long.
 	RestoreStore
 	kindCount
@@ -77,22 +78,23 @@
 
 func (k Kind) String() string { return kindNames[k] }
 
-// planned reports whether the fault is work that must cut nobody off.
+// planned reports whether this is routine maintenance, which must not interrupt
+// any request.
 func (k Kind) planned() bool {
-	return k == StopHost || k == ReloadHost || k == ChangeConfig || k == StoreForgets
+	return k == StopHost || k == ReloadHost || k == ChangeConfig || k == CompactStore
 }
 
 // Event is one fault.
 type Event struct {
-	// At is when it begins, from the start of the load.
-	At   time.Duration
-	Kind Kind
-	// Target chooses among the hosts or members that there are then.
+	// Start is the offset from the start of the load.
+	Start time.Duration
+	Kind  Kind
+	// Target selects a host or member, modulo the number that exist at that time.
 	Target int
-	// For is how long it lasts, where it lasts.
-	For time.Duration
+	// Duration is ignored by faults that are instantaneous.
+	Duration time.Duration
 }
 
 func (e Event) String() string {
-	return fmt.Sprintf("%s %s target %d for %s", e.At, e.Kind, e.Target, e.For)
+	return fmt.Sprintf("%s %s target %d for %s", e.Start, e.Kind, e.Target, e.Duration)
 }
--- a/node/soak/findings.go
+++ b/node/soak/findings.go
@@ -5,25 +5,25 @@
 	"sync"
 )
 
-// maxFindings bounds what one run reports; the first tell most.
+// maxFindings bounds the findings of one run; later ones are dropped.
 const maxFindings = 50
 
-// findings collects what was not as promised. It is safe for concurrent use.
+// findings collects violations of guarantees. It is safe for concurrent use.
 type findings struct {
-	mu   sync.Mutex
-	list []string
+	mu       sync.Mutex
+	messages []string
 }
 
 func (f *findings) add(format string, args ...any) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if len(f.list) < maxFindings {
-		f.list = append(f.list, fmt.Sprintf(format, args...))
+	if len(f.messages) < maxFindings {
+		f.messages = append(f.messages, fmt.Sprintf(format, args...))
 	}
 }
 
 func (f *findings) all() []string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return append([]string(nil), f.list...)
+	return append([]string(nil), f.messages...)
 }
--- a/node/soak/history.go
+++ b/node/soak/history.go
@@ -6,17 +6,17 @@
 	"github.com/dotterelswitch/dotterelswitch/standin/linecaller"
 )
 
-// The databases that callers use all the time.
+// The databases that callers use, one for each consistency of a route.
 const (
-	strict  = "strict"
-	bounded = "bounded"
-	own     = "own"
+	strictDatabase         = "strict"
+	boundedDatabase        = "bounded"
+	readYourWritesDatabase = "own"
 )
 
-// staleness is how old a read may be in each database.
-var staleness = map[string]time.Duration{strict: 0, bounded: 1500 * time.Millisecond, own: 2500 * time.Millisecond}
+// maxStaleness bounds the staleness of reads, by database.
+var maxStaleness = map[string]time.Duration{strictDatabase: 0, boundedDatabase: 1500 * time.Millisecond, readYourWritesDatabase: 2500 * time.Millisecond}
 
-// verb is what a statement does.
+// verb is the kind of a statement.
 type verb uint8
 
 const (
@@ -25,68 +25,67 @@
 	commit
 )
 
-// request is one statement that had to reach a member, as its caller saw it.
+// request is one statement for a member, as its caller observed it.
 type request struct {
 	linecaller.Answer
 	verb     verb
 	text     string
 	database string
-	// team is the caller's.
+	// team is the caller's team.
 	team string
-	// session names the connection, tx its transaction; both are unique in a run,
-	// and tx is nil outside of a transaction.
+	// session identifies the connection, uniquely in a run; tx is nil outside of a
+	// transaction.
 	session string
 	tx      *transaction
-	host    *process
-	// incarnation is the host's when the session began.
-	incarnation    int
-	sent, answered time.Time
-	// lost tells that the connection ended without an answer.
-	lost bool
-	// values are the session values that were acknowledged, shape is what a
-	// prepared name was prepared as.
-	values, shape string
+	host    *hostProcess
+	// incarnation is that of the host when the session was opened.
+	incarnation        int
+	sentAt, answeredAt time.Time
+	// unanswered is set when the connection ended before an answer arrived.
+	unanswered bool
+	// sessionValues are the acknowledged values of the session; preparedShape is the
+	// shape of the prepared statement that the request executes.
+	sessionValues, preparedShape string
 }
 
-// ok reports whether the statement succeeded.
-func (r *request) ok() bool { return !r.lost && r.Code == "" }
+func (r *request) ok() bool { return !r.unanswered && r.Code == "" }
 
-// began is when what a read may rely on was fixed.
-func (r *request) began() time.Time {
+// startTime returns when the request or its transaction began. Freshness is
+// judged as of this time.
+func (r *request) startTime() time.Time {
 	if r.tx != nil {
-		return r.tx.began
+		return r.tx.beganAt
 	}
-	return r.sent
+	return r.sentAt
 }
 
-// outcome is what a caller was told of a transaction.
-type outcome uint8
+// transactionResult is what a caller knows about the end of a transaction.
+type transactionResult uint8
 
 const (
-	// unknown promises nothing.
-	unknown outcome = iota
-	kept
-	// notKept was rolled back, left, or refused with a promise.
-	notKept
+	// outcomeUnknown covers commits without a definite answer.
+	outcomeUnknown transactionResult = iota
+	committed
+	// notCommitted was rolled back, abandoned, or refused as not run.
+	notCommitted
 )
 
-// transaction is one transaction of a caller.
 type transaction struct {
-	began   time.Time
-	outcome outcome
+	beganAt time.Time
+	result  transactionResult
 	writes  []*request
 }
 
-// history is what one caller saw.
+// history is what one caller observed.
 type history struct {
 	requests []*request
-	// commits are when a commit was acknowledged, with the request that wrote.
-	commits []acknowledged
+	commits  []ackedCommit
 }
 
-// acknowledged is a commit whose success was seen by its caller.
-type acknowledged struct {
-	at      time.Time
-	id      string
-	session string
+// ackedCommit is a commit that was acknowledged to its caller. A transaction is
+// identified by its first write.
+type ackedCommit struct {
+	at        time.Time
+	requestID string
+	session   string
 }
--- a/node/soak/inject.go
+++ b/node/soak/inject.go
@@ -8,187 +8,189 @@
 	"github.com/dotterelswitch/dotterelswitch/standin/lineplatform"
 )
 
-// memberDelay is what DelayMember adds each way: several statements' work.
+// memberDelay is the latency that DelayMember adds in each direction, several
+// times the service time of a statement.
 const memberDelay = 60 * time.Millisecond
 
-// lostAnswers and refusedPromotions are how many answers LoseAnswers loses and
-// how many calls RefusePromotion turns away.
+// The number of answers that LoseAnswers drops, and of calls that RefusePromotion
+// refuses.
 const (
-	lostAnswers       = 12
-	refusedPromotions = 3
+	lostAnswerCount       = 12
+	refusedPromotionCount = 3
 )
 
-// storeAway is how long the store is away before it returns from a copy.
-const storeAway = 300 * time.Millisecond
+// restoreOutage is how long the store is unavailable while it is restored.
+const restoreOutage = 300 * time.Millisecond
 
-// carryOut makes a fault happen, and undoes it when its time is over.
-func (s *run) carryOut(e Event) {
-	host := s.fleet[e.Target%len(s.fleet)]
+// injectFault injects a fault and reverts it after its duration.
+func (s *soakRun) injectFault(e Event) {
+	host := s.hosts[e.Target%len(s.hosts)]
 	switch e.Kind {
 	case KillHost:
 		host.signal(syscall.SIGKILL, true)
 	case KillMany:
-		for n := range (len(s.fleet) + 1) / 2 {
-			s.fleet[(e.Target+n)%len(s.fleet)].signal(syscall.SIGKILL, true)
+		for n := range (len(s.hosts) + 1) / 2 {
+			s.hosts[(e.Target+n)%len(s.hosts)].signal(syscall.SIGKILL, true)
 		}
 	case StopHost:
 		s.stopHost(e, host)
 	case PauseHost:
-		host.pause(e.For)
+		host.pause(e.Duration)
 	case ReloadHost:
 		host.signal(syscall.SIGHUP, false)
-	case CutStore:
-		during(host.store, faultproxy.Fault{HoldToTarget: true, HoldToClient: true}, e.For)
+	case StallStore:
+		applyProxyFault(host.storeProxy, faultproxy.Fault{HoldToTarget: true, HoldToClient: true}, e.Duration)
 	case SilenceStore:
-		host.store.Silence()
+		host.storeProxy.Silence()
 	case StoreRefuses:
-		s.failStore(lineplatform.Refusing, e.For)
+		s.failStore(lineplatform.Refusing, e.Duration)
 	case StoreSilent:
-		s.failStore(lineplatform.Silent, e.For)
+		s.failStore(lineplatform.Silent, e.Duration)
 	case StoreLosesAnswers:
-		s.failStore(lineplatform.LosingAnswers, e.For)
-	case StoreForgets:
+		s.failStore(lineplatform.LosingAnswers, e.Duration)
+	case CompactStore:
 		s.platform.Store.Compact()
 	case RestoreStore:
-		older := s.platform.Store.Copy()
-		time.Sleep(e.For)
-		s.platform.RestoreStore(older, storeAway, heartbeat)
+		backup := s.platform.Store.Copy()
+		time.Sleep(e.Duration)
+		s.platform.RestoreStore(backup, restoreOutage, heartbeatInterval)
 	case RefusePromotion:
-		s.platform.RefusePromotions(refusedPromotions)
+		s.platform.RefusePromotions(refusedPromotionCount)
 	case ChangeConfig:
-		s.routes.change()
+		s.routes.publishNext()
 	default:
-		s.harmMember(e)
+		s.injectMemberFault(e)
 	}
 }
 
-// stopHost ends a host as planned.
-func (s *run) stopHost(e Event, host *process) {
-	if aloneFor(s.plan, e, grace) {
+// stopHost shuts a host down. The stop is checked for interrupted requests unless
+// an unplanned fault is near.
+func (s *soakRun) stopHost(e Event, host *hostProcess) {
+	if noUnplannedFaultNear(s.plan, e, stopGracePeriod) {
 		s.mu.Lock()
-		s.stops = append(s.stops, stop{host: host, incarnation: host.running(), at: time.Now()})
+		s.stops = append(s.stops, plannedStop{host: host, incarnation: host.currentIncarnation(), at: time.Now()})
 		s.mu.Unlock()
 	}
 	host.stop()
 }
 
-func (s *run) failStore(o lineplatform.Outage, d time.Duration) {
+func (s *soakRun) failStore(o lineplatform.Outage, d time.Duration) {
 	s.platform.Store.Fail(o)
 	time.Sleep(d)
 	s.platform.Store.Fail(lineplatform.Up)
 }
 
-func during(p *faultproxy.Proxy, f faultproxy.Fault, d time.Duration) {
+func applyProxyFault(p *faultproxy.Proxy, f faultproxy.Fault, d time.Duration) {
 	p.Set(f)
 	time.Sleep(d)
 	p.Set(faultproxy.Fault{})
 }
 
-// harmMember carries out the faults of one member.
-func (s *run) harmMember(e Event) {
+// injectMemberFault injects the faults that concern one member.
+func (s *soakRun) injectMemberFault(e Event) {
 	g := s.groups[e.Target%len(s.groups)]
 	all := g.Members()
 	m := all[e.Target/len(s.groups)%len(all)]
-	proxy := s.proxies.of(m)
+	proxy := s.proxies.forMember(m)
 	switch e.Kind {
 	case CrashMember:
-		s.crash(m, e.For)
+		s.crashAndRestart(m, e.Duration)
 	case CrashPrimary:
 		if p := g.Primary(); p != nil {
-			s.crash(p, e.For)
+			s.crashAndRestart(p, e.Duration)
 		}
-	case EmptyMember:
-		s.empty(m, e.For)
-	case EmptyPrimary:
+	case WipeMember:
+		s.restartEmpty(m, e.Duration)
+	case WipePrimary:
 		if p := g.Primary(); p != nil {
-			s.empty(p, e.For)
+			s.restartEmpty(p, e.Duration)
 		}
 	case ForeignEntry:
-		s.writeOver(m, e)
+		s.overwriteEntry(m, e)
 	case DrainPrimary:
 		s.drainPrimary(g)
 	case DelayMember:
-		during(proxy, faultproxy.Fault{Delay: memberDelay}, e.For)
+		applyProxyFault(proxy, faultproxy.Fault{Delay: memberDelay}, e.Duration)
 	case HoldToMember:
-		during(proxy, faultproxy.Fault{HoldToTarget: true}, e.For)
+		applyProxyFault(proxy, faultproxy.Fault{HoldToTarget: true}, e.Duration)
 	case HoldFromMember:
-		during(proxy, faultproxy.Fault{HoldToClient: true}, e.For)
+		applyProxyFault(proxy, faultproxy.Fault{HoldToClient: true}, e.Duration)
 	case ResetMember:
 		proxy.Reset()
 	case SilenceMember:
 		proxy.Silence()
-	case DeafReplica:
+	case StopReplication:
 		m.Deafen(true)
-		time.Sleep(e.For)
+		time.Sleep(e.Duration)
 		m.Deafen(false)
 	case LoseAnswers:
 		loseAnswers(g, m, e)
 	default:
-		s.found.add("no fault is known as %s", e.Kind)
+		s.findings.add("no fault is known as %s", e.Kind)
 	}
 }
 
-// loseAnswers harms the primary in one half of the cases: only there answers to
-// writes can be lost.
+// loseAnswers selects the primary in half of the cases, since only the primary
+// answers writes.
 func loseAnswers(g *lineplatform.Group, m *lineplatform.Member, e Event) {
-	if p := g.Primary(); p != nil && e.For%2 == 0 {
+	if p := g.Primary(); p != nil && e.Duration%2 == 0 {
 		m = p
 	}
-	m.LoseAnswers(lostAnswers)
+	m.LoseAnswers(lostAnswerCount)
 }
 
-// crash ends a member and starts it again.
-func (s *run) crash(m *lineplatform.Member, down time.Duration) {
+func (s *soakRun) crashAndRestart(m *lineplatform.Member, down time.Duration) {
 	m.Crash()
 	time.Sleep(down)
 	if m.Gone() {
 		return
 	}
 	if err := m.Restart(); err != nil {
-		s.found.add("the stand-in's member %s did not start again: %v", m.ID, err)
+		s.findings.add("the stand-in's member %s did not start again: %v", m.ID, err)
 	}
 }
 
-// empty ends a member and starts it again without its log.
-func (s *run) empty(m *lineplatform.Member, down time.Duration) {
+// restartEmpty crashes a member and restarts it without its log.
+func (s *soakRun) restartEmpty(m *lineplatform.Member, down time.Duration) {
 	m.Crash()
 	time.Sleep(down)
 	if m.Gone() {
 		return
 	}
 	if err := m.RestartEmpty(false); err != nil {
-		s.found.add("the stand-in's member %s did not start again: %v", m.ID, err)
+		s.findings.add("the stand-in's member %s did not start again: %v", m.ID, err)
 	}
 }
 
-// foreignValues are what another writer may leave.
+// foreignValues are values that are not valid member entries.
 var foreignValues = []string{"", "{", "null", "[7]", `{"service":7}`, `{"service":"x","state":"odd","address":"1.2.3.4:5"}`, "\xff\xfe"}
 
-// writeOver leaves something that is no entry under a key of its own and in place
-// of a member's entry, until the member writes again.
-func (s *run) writeOver(m *lineplatform.Member, e Event) {
+// overwriteEntry writes an invalid value under a separate key and in place of a
+// member's entry, until the member writes its entry again.
+func (s *soakRun) overwriteEntry(m *lineplatform.Member, e Event) {
 	value := []byte(foreignValues[e.Target%len(foreignValues)])
 	s.platform.Store.Put("servers/foreign", value)
 	s.platform.Store.Put("servers/"+m.ID, value)
-	time.Sleep(min(e.For, heartbeat))
+	time.Sleep(min(e.Duration, heartbeatInterval))
 	m.Announce()
 	s.platform.Store.Delete("servers/foreign")
 }
 
-// heartbeat is how often members write their entries on the users' platform.
-const heartbeat = 1200 * time.Millisecond
+// heartbeatInterval is the interval at which members write their entries on the
+// users' platform.
+const heartbeatInterval = 1200 * time.Millisecond
 
-// drainPrimary replaces a primary as planned.
-func (s *run) drainPrimary(g *lineplatform.Group) {
+// drainPrimary adds a member, drains the primary and removes it.
+func (s *soakRun) drainPrimary(g *lineplatform.Group) {
 	p := g.Primary()
 	if p == nil || p.Draining() {
 		return
 	}
 	if _, err := g.AddMember(); err != nil {
-		s.found.add("the stand-in started no member: %v", err)
+		s.findings.add("the stand-in started no member: %v", err)
 		return
 	}
 	p.Drain()
-	time.Sleep(drainBound + time.Second)
+	time.Sleep(drainTimeout + time.Second)
 	g.Remove(p)
 }
--- a/node/soak/proxies.go
+++ b/node/soak/proxies.go
@@ -7,17 +7,19 @@
 	"github.com/dotterelswitch/dotterelswitch/standin/lineplatform"
 )
 
-// proxies holds the proxy of each member, by its address. It is safe for
-// concurrent use.
-type proxies struct {
+// memberProxies holds the fault proxies by advertised member address. It is safe
+// for concurrent use.
+type memberProxies struct {
 	mu        sync.Mutex
 	byAddress map[string]*faultproxy.Proxy
 }
 
-func newProxies() *proxies { return &proxies{byAddress: map[string]*faultproxy.Proxy{}} }
+func newMemberProxies() *memberProxies {
+	return &memberProxies{byAddress: map[string]*faultproxy.Proxy{}}
+}
 
-// front puts a proxy in front of a member and returns its address.
-func (p *proxies) front(address string) (string, error) {
+// addProxy starts a proxy in front of a member and returns its address.
+func (p *memberProxies) addProxy(address string) (string, error) {
 	proxy, err := faultproxy.New(address)
 	if err != nil {
 		return "", err
@@ -28,13 +30,13 @@
 	return proxy.Address(), nil
 }
 
-func (p *proxies) of(m *lineplatform.Member) *faultproxy.Proxy {
+func (p *memberProxies) forMember(m *lineplatform.Member) *faultproxy.Proxy {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.byAddress[m.Advertised()]
 }
 
-func (p *proxies) close() {
+func (p *memberProxies) close() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, proxy := range p.byAddress {
--- a/node/soak/service.go
+++ b/node/soak/service.go
@@ -8,50 +8,49 @@
 )
 
 const (
-	// recovery bounds the wait until every host serves again. It is several
-	// times what hosts need, so that a busy machine changes no verdict.
-	recovery = 60 * time.Second
-	// servicePoll spaces the attempts.
-	servicePoll = 100 * time.Millisecond
-	// serviceCaller begins the ids of this check's own requests.
-	serviceCaller = "service-"
+	// recoveryTimeout bounds the wait until every host serves. It has a wide margin
+	// for loaded machines.
+	recoveryTimeout     = 60 * time.Second
+	servicePollInterval = 100 * time.Millisecond
+	// serviceCheckPrefix starts the request ids of this check.
+	serviceCheckPrefix = "service-"
 )
 
-// awaitService waits until every host has the newest configuration and serves
-// a write and a read in each group.
-func (s *run) awaitService(when string) error {
-	until := time.Now().Add(recovery)
-	for _, h := range s.fleet {
+// awaitService waits until every host has applied the newest configuration and
+// serves reads from each database of each group.
+func (s *soakRun) awaitService(when string) error {
+	deadline := time.Now().Add(recoveryTimeout)
+	for _, h := range s.hosts {
 		for n := 0; ; n++ {
-			problem := s.serves(h, n)
+			problem := s.serviceProblem(h, n)
 			if problem == "" {
 				break
 			}
-			if time.Now().After(until) {
+			if time.Now().After(deadline) {
 				return fmt.Errorf("%s, %s %s", when, h.name, problem)
 			}
-			time.Sleep(servicePoll)
+			time.Sleep(servicePollInterval)
 		}
 	}
 	return nil
 }
 
-// serves returns what a host does not do yet, or the empty string.
-func (s *run) serves(h *process, attempt int) string {
-	newest := s.routes.newest()
+// serviceProblem describes why a host does not serve yet; it is empty if it does.
+func (s *soakRun) serviceProblem(h *hostProcess, attempt int) string {
+	newest := s.routes.newestVersion()
 	if !hasRoute(h, newest) {
 		return "does not run on the newest configuration"
 	}
 	if newest > 1 && !lacksRoute(h, newest-1) {
 		return "still has a route that was removed"
 	}
-	if newest > 1 && admitsLeft(h, newest) {
+	if newest > 1 && admitsRemovedKey(h, newest) {
 		return "admits a key that was taken away"
 	}
 	for n := range s.groups {
-		for _, database := range []string{strict, own, bounded} {
-			name := fmt.Sprintf("%s%s-%d-%d-%s", serviceCaller, h.name, attempt, n, database)
-			session, err := linecaller.Open(h.caller, databaseOf(n, database), name, answerTimeout)
+		for _, database := range []string{strictDatabase, readYourWritesDatabase, boundedDatabase} {
+			name := fmt.Sprintf("%s%s-%d-%d-%s", serviceCheckPrefix, h.name, attempt, n, database)
+			session, err := linecaller.Open(h.callerAddress, databaseOf(n, database), name, answerTimeout)
 			if err != nil {
 				return "does not open sessions: " + err.Error()
 			}
--- a/node/soak/soak.go
+++ b/node/soak/soak.go
@@ -13,71 +13,72 @@
 	"github.com/dotterelswitch/dotterelswitch/standin/lineplatform"
 )
 
-// Options describe a run.
+// Options configure a run.
 type Options struct {
 	// Program is the path of the dotterelswitch binary.
 	Program string
-	// Dir takes settings files and logs.
+	// Dir is the directory for settings files and logs.
 	Dir            string
 	Seed           uint64
 	Hosts, Callers int
-	// Groups is how many database groups of three members there are.
+	// Groups is the number of database groups, of three members each.
 	Groups int
-	// Length is how long faults come.
-	Length time.Duration
-	// Plan replaces the plan of the seed, for tests.
+	// FaultPeriod is the time in which faults are injected.
+	FaultPeriod time.Duration
+	// Plan overrides the plan that is derived from the seed, for tests.
 	Plan []Event
 }
 
-// Report is what a run saw.
+// Report is the result of a run.
 type Report struct {
 	Seed     uint64   `json:"seed"`
 	Requests int      `json:"requests"`
 	Served   int      `json:"served"`
 	Lost     int      `json:"lost"`
 	Faults   []string `json:"faults"`
-	// Findings are the promises that were broken.
+	// Findings describe the guarantees that were violated.
 	Findings []string `json:"findings"`
 }
 
-// The groups' members are like the archive's, with short times.
+// The database groups resemble those of the archive workload, with shorter times.
 const (
-	members        = 3
-	slots          = 2
-	maxConnections = 16
-	work           = 2 * time.Millisecond
-	lag            = 10 * time.Millisecond
-	promoteTime    = 150 * time.Millisecond
-	target         = 500 * time.Millisecond
-	idleTime       = 3 * time.Second
+	membersPerGroup = 3
+	slots           = 2
+	maxConnections  = 16
+	serviceTime     = 2 * time.Millisecond
+	replicationLag  = 10 * time.Millisecond
+	promotionTime   = 150 * time.Millisecond
+	targetLatency   = 500 * time.Millisecond
+	txIdleTimeout   = 3 * time.Second
 )
 
 var zones = []string{"zone-a", "zone-b", "zone-c"}
 
-// run is one soak under way.
-type run struct {
+// soakRun is a run in progress.
+type soakRun struct {
 	Options
 	plan     []Event
 	platform *lineplatform.Platform
 	groups   []*lineplatform.Group
-	proxies  *proxies
-	fleet    []*process
-	found    findings
+	proxies  *memberProxies
+	hosts    []*hostProcess
+	findings findings
 	routes   *routeWatch
 
-	// mu guards stops, the planned ones that have to cut nobody.
+	// mu guards stops, the planned stops that must not interrupt any request.
 	mu    sync.Mutex
-	stops []stop
+	stops []plannedStop
 }
 
-// Run carries out one soak.
+// Run deploys the platform and the hosts, injects faults under load, and checks
+// the recorded histories.
 func Run(ctx context.Context, o Options) (*Report, error) {
-	s := &run{Options: o, plan: o.Plan, proxies: newProxies()}
+	s := &soakRun{Options: o, plan: o.Plan, proxies: newMemberProxies()}
 	if s.plan == nil {
-		s.plan = NewPlan(o.Seed, o.Length)
+		s.plan = NewPlan(o.Seed, o.FaultPeriod)
 	}
-	defer s.end()
-	if err := s.begin(); err != nil {
+	defer s.close()
+	if err := s.start(); err != nil {
 		return nil, err
 	}
 	if err := s.awaitService("at the start"); err != nil {
@@ -88,17 +89,16 @@
 	var wg sync.WaitGroup
 	callers := s.startCallers(load, &wg)
 	wg.Go(func() { s.routes.run(load) })
-	s.inject(ctx)
+	s.injectPlan(ctx)
 	if err := s.awaitService("after the faults"); err != nil {
-		s.found.add("%v", err)
+		s.findings.add("%v", err)
 	}
 	endLoad()
 	wg.Wait()
 	return s.report(callers), nil
 }
 
-// begin starts the platform and the hosts.
-func (s *run) begin() error {
+func (s *soakRun) start() error {
 	p, err := lineplatform.Start()
 	if err != nil {
 		return err
@@ -106,8 +106,8 @@
 	s.platform = p
 	for n := range s.Groups {
 		g, err := p.AddGroup(fmt.Sprintf("group%d", n), lineplatform.Options{
-			Members: members, Slots: slots, MaxConnections: maxConnections, Work: work, Lag: lag,
-			PromoteTime: promoteTime, Zones: zones, Front: s.proxies.front,
+			Members: membersPerGroup, Slots: slots, MaxConnections: maxConnections, Work: serviceTime, Lag: replicationLag,
+			PromoteTime: promotionTime, Zones: zones, Front: s.proxies.addProxy,
 		})
 		if err != nil {
 			return err
@@ -115,15 +115,15 @@
 		s.groups = append(s.groups, g)
 	}
 	for n := range s.Hosts {
-		h, err := newProcess(n, s.Program, s.Dir, p, &s.found)
+		h, err := newHostProcess(n, s.Program, s.Dir, p, &s.findings)
 		if err != nil {
 			return err
 		}
-		s.fleet = append(s.fleet, h)
+		s.hosts = append(s.hosts, h)
 	}
-	s.routes = newRouteWatch(s.platform, s.fleet, &s.found)
-	s.routes.change()
-	for _, h := range s.fleet {
+	s.routes = newRouteWatch(s.platform, s.hosts, &s.findings)
+	s.routes.publishNext()
+	for _, h := range s.hosts {
 		if err := h.start(); err != nil {
 			return err
 		}
@@ -131,10 +131,10 @@
 	return nil
 }
 
-// end stops everything that the run started.
-func (s *run) end() {
-	for _, h := range s.fleet {
-		h.end()
+// close stops everything that the run started.
+func (s *soakRun) close() {
+	for _, h := range s.hosts {
+		h.close()
 	}
 	s.proxies.close()
 	if s.platform != nil {
@@ -142,11 +142,11 @@
 	}
 }
 
-func (s *run) startCallers(ctx context.Context, wg *sync.WaitGroup) []*caller {
+func (s *soakRun) startCallers(ctx context.Context, wg *sync.WaitGroup) []*caller {
 	var out []*caller
 	for n := range s.Callers {
 		c := &caller{
-			name: fmt.Sprintf("c%d", n), fleet: s.fleet, rng: rand.New(rand.NewPCG(s.Seed, uint64(n))),
+			name: fmt.Sprintf("c%d", n), hosts: s.hosts, rng: rand.New(rand.NewPCG(s.Seed, uint64(n))),
 			group: n % s.Groups, team: callerTeams[n%len(callerTeams)],
 		}
 		out = append(out, c)
@@ -155,27 +155,27 @@
 	return out
 }
 
-// inject carries out the plan and waits until its last fault is over.
-func (s *run) inject(ctx context.Context) {
-	began := time.Now()
+// injectPlan injects the planned faults and waits until the last one has ended.
+func (s *soakRun) injectPlan(ctx context.Context) {
+	startedAt := time.Now()
 	var wg sync.WaitGroup
 	for _, e := range s.plan {
 		select {
 		case <-ctx.Done():
-		case <-time.After(time.Until(began.Add(e.At))):
-			wg.Go(func() { s.carryOut(e) })
+		case <-time.After(time.Until(startedAt.Add(e.Start))):
+			wg.Go(func() { s.injectFault(e) })
 		}
 	}
 	wg.Wait()
 }
 
-// report checks what was seen.
-func (s *run) report(callers []*caller) *Report {
+// report checks the recorded histories and returns the result.
+func (s *soakRun) report(callers []*caller) *Report {
 	r := &Report{Seed: s.Seed}
 	for _, e := range s.plan {
 		r.Faults = append(r.Faults, e.String())
 	}
-	var evidences []evidence
+	var records []groupRecord
 	var all []history
 	for n, g := range s.groups {
 		var histories []history
@@ -184,20 +184,20 @@
 				histories = append(histories, c.history)
 			}
 		}
-		e := evidence{runs: g.Runs(), starts: g.Starts(), committed: g.Committed, commit: g.Commit}
-		check(e, histories, &s.found)
-		evidences, all = append(evidences, e), append(all, histories...)
+		e := groupRecord{runs: g.Runs(), termStarts: g.Starts(), commitCount: g.Committed, commitPosition: g.Commit}
+		check(e, histories, &s.findings)
+		records, all = append(records, e), append(all, histories...)
 		s.checkStops(histories, e.runs)
 		for _, h := range histories {
 			r.count(h)
 		}
 	}
-	checkLimits(evidences, all, &s.found)
+	checkLimits(records, all, &s.findings)
 	if n := s.platform.SharedTokens(); n > 0 {
-		s.found.add("%d promotion calls came with another host's token", n)
+		s.findings.add("%d promotion calls came with another host's token", n)
 	}
 	s.checkLogs()
-	r.Findings = s.found.all()
+	r.Findings = s.findings.all()
 	return r
 }
 
@@ -207,23 +207,23 @@
 		if q.ok() {
 			r.Served++
 		}
-		if q.lost {
+		if q.unanswered {
 			r.Lost++
 		}
 	}
 }
 
-// checkLogs finds the traces of a program's own failure.
-func (s *run) checkLogs() {
-	for _, h := range s.fleet {
+// checkLogs searches the hosts' logs for panics and data races.
+func (s *soakRun) checkLogs() {
+	for _, h := range s.hosts {
 		text, err := os.ReadFile(h.logPath())
 		if err != nil {
-			s.found.add("%s: %v", h.name, err)
+			s.findings.add("%s: %v", h.name, err)
 			continue
 		}
 		for _, sign := range []string{"panic:", "WARNING: DATA RACE", "fatal error:"} {
 			if bytes.Contains(text, []byte(sign)) {
-				s.found.add("%s logged %q, see %s", h.name, sign, filepath.Base(h.logPath()))
+				s.findings.add("%s logged %q, see %s", h.name, sign, filepath.Base(h.logPath()))
 			}
 		}
 	}
--- a/node/soak/teams.go
+++ b/node/soak/teams.go
@@ -7,21 +7,21 @@
 	"github.com/dotterelswitch/dotterelswitch/standin/lineplatform"
 )
 
-// The teams of a run. The checks' own sessions belong to one without a limit; the
-// callers are dealt to the others in turn.
+// The teams of a run. The checks' own sessions belong to a team without a limit;
+// callers are assigned to the others round-robin.
 var (
 	checksTeam  = lineplatform.Team{Name: "checks", Keys: []string{linecaller.DefaultKey}}
 	callerTeams = []lineplatform.Team{
 		{Name: "schools", Keys: []string{"key-schools"}},
 		{Name: "clubs", Keys: []string{"key-clubs"}},
-		// Three callers without a pause ask for several times as much.
+		// The callers of this team exceed its limit several times over.
 		{Name: "colleges", Keys: []string{"key-colleges"}, Rate: 4, Burst: 4},
 	}
-	// leftTeam holds a key in the first version of the configuration only.
-	leftTeam = lineplatform.Team{Name: "left", Keys: []string{"key-left"}}
+	// removedTeam has a key only in the first version of the configuration.
+	removedTeam = lineplatform.Team{Name: "left", Keys: []string{"key-left"}}
 )
 
-// The tolerance of the teams' limits, as the platform's bounds say it.
+// The tolerance of the teams' limits that the platform configures.
 const (
 	quotaWindow = 5 * time.Second
 	quotaShare  = 0.1
@@ -32,14 +32,15 @@
 func teamsOf(version int) []lineplatform.Team {
 	teams := append([]lineplatform.Team{checksTeam}, callerTeams...)
 	if version == 1 {
-		teams = append(teams, leftTeam)
+		teams = append(teams, removedTeam)
 	}
 	return teams
 }
 
-// admitsLeft reports whether a host opens a session for a key that was taken away.
-func admitsLeft(h *process, version int) bool {
-	session, err := linecaller.OpenWithKey(h.caller, only(version), leftTeam.Keys[0], "left", answerTimeout)
+// admitsRemovedKey reports whether a host opens a session for a key that was
+// removed.
+func admitsRemovedKey(h *hostProcess, version int) bool {
+	session, err := linecaller.OpenWithKey(h.callerAddress, versionDatabase(version), removedTeam.Keys[0], "left", answerTimeout)
 	if err != nil {
 		return false
 	}
@@ -47,38 +48,37 @@
 	return true
 }
 
-// checkTeams finds statements that ran in the name of another team than their
-// caller's.
+// checkTeams finds statements that ran as another team than their caller's.
 func (c *checker) checkTeams(r *request) {
-	for _, run := range c.runsOf[r.ID] {
+	for _, run := range c.runsByRequest[r.ID] {
 		if run.Team != r.team {
-			c.found.add("%s ran in the name of %q, its caller is of %q", r.ID, run.Team, r.team)
+			c.findings.add("%s ran in the name of %q, its caller is of %q", r.ID, run.Team, r.team)
 		}
 	}
 }
 
-// operation is when one operation of a team was sent, and when a member ran it.
-type operation struct{ sent, ran time.Time }
+// operation holds when an operation was sent and when a member ran it.
+type operation struct{ sentAt, ranAt time.Time }
 
-// checkLimits finds windows in which more operations of a team were both sent and
-// run than its limit and the tolerance allow.
-func checkLimits(evidences []evidence, histories []history, found *findings) {
+// checkLimits finds teams for which more operations were both sent and run within
+// one window than the limit and its tolerance allow.
+func checkLimits(records []groupRecord, histories []history, found *findings) {
 	for _, t := range callerTeams {
 		if t.Rate == 0 {
 			continue
 		}
 		allowed := (t.Rate*quotaWindow.Seconds()+t.Burst)*(1+quotaShare) + quotaSlack
-		if n := busiestWindow(operationsOf(t.Name, evidences, histories)); float64(n) > allowed {
+		if n := maxOperationsInWindow(operationsOf(t.Name, records, histories)); float64(n) > allowed {
 			found.add("team %s ran %d operations in a window, %.0f are allowed", t.Name, n, allowed)
 		}
 	}
 }
 
-// operationsOf returns the operations of a team that members ran: single statements,
-// and transactions by their first.
-func operationsOf(team string, evidences []evidence, histories []history) []operation {
+// operationsOf returns the operations of a team that members ran. A transaction is
+// one operation, counted at its first statement.
+func operationsOf(team string, records []groupRecord, histories []history) []operation {
 	ran := map[string]time.Time{}
-	for _, e := range evidences {
+	for _, e := range records {
 		for _, r := range e.runs {
 			if _, again := ran[r.ID]; !again {
 				ran[r.ID] = r.At
@@ -96,19 +96,20 @@
 			if r.tx != nil {
 				counted[r.tx] = true
 			}
-			out = append(out, operation{sent: r.sent, ran: at})
+			out = append(out, operation{sentAt: r.sentAt, ranAt: at})
 		}
 	}
 	return out
 }
 
-// busiestWindow returns the most operations that were sent and run in one window.
-func busiestWindow(operations []operation) int {
+// maxOperationsInWindow returns the largest number of operations that were both
+// sent and run within one window.
+func maxOperationsInWindow(operations []operation) int {
 	most := 0
 	for _, first := range operations {
 		n := 0
 		for _, o := range operations {
-			if !o.sent.Before(first.sent) && o.ran.Before(first.sent.Add(quotaWindow)) {
+			if !o.sentAt.Before(first.sentAt) && o.ranAt.Before(first.sentAt.Add(quotaWindow)) {
 				n++
 			}
 		}
