--- a/node/cmd/dotterelctl/measure.go
+++ b/node/cmd/dotterelctl/measure.go
@@ -31,9 +31,9 @@
 
 // measures is what the command prints.
 type measures struct {
-	Losses []measure.Loss
+	Losses []measure.PrimaryLoss
 	Reads  []measure.Reads
-	Talk   []measure.Talk
+	Talk   []measure.ControlTraffic
 }
 
 func runMeasure(files []string, output string) error {
@@ -45,7 +45,7 @@
 		}
 		lines = append(lines, read...)
 	}
-	m := measures{Losses: measure.Losses(lines), Reads: measure.CountReads(lines), Talk: measure.CountTalk(lines)}
+	m := measures{Losses: measure.FindPrimaryLosses(lines), Reads: measure.CountReads(lines), Talk: measure.CountControlTraffic(lines)}
 	switch output {
 	case "json":
 		return json.NewEncoder(os.Stdout).Encode(m)
@@ -64,7 +64,7 @@
 	}
 	rows = append(rows, "", "READS\tTOTAL\tREPLICAS\tBY ROUTE\tNO FLOOR\tBEHIND\tDOUBT\tSOONER")
 	for _, r := range m.Reads {
-		rows = append(rows, fmt.Sprintf("%s\t%d\t%.3f\t%d\t%d\t%d\t%d\t%d", r.Consistency, r.Total(), r.Share(), r.ByRoute, r.NoFloor, r.Behind, r.Doubt, r.Sooner))
+		rows = append(rows, fmt.Sprintf("%s\t%d\t%.3f\t%d\t%d\t%d\t%d\t%d", r.Consistency, r.Total(), r.ReplicaShare(), r.ByRoute, r.NoFloor, r.Behind, r.Doubt, r.Sooner))
 	}
 	rows = append(rows, "", "SENT FOR CONTROL\tTOTAL\tA HOST AND SECOND")
 	for _, t := range m.Talk {
--- a/node/host/host.go
+++ b/node/host/host.go
@@ -97,13 +97,13 @@
 	}
 	h.ctx, h.cancel = context.WithCancel(context.Background())
 	h.fleet = newFleet(self, h.timing, h.log)
-	h.peers = peer.NewClient(h.traffic.peers.Wrap(opts.Dial), s.PeerKey)
-	h.platform = consul.NewClient(s.Platform, h.traffic.platform.Wrap(opts.Dial))
+	h.peers = peer.NewClient(h.traffic.peers.WrapDialer(opts.Dial), s.PeerKey)
+	h.platform = consul.NewClient(s.Platform, h.traffic.platform.WrapDialer(opts.Dial))
 	h.config = confstore.New(h.platform)
 	h.metrics = metrics.New(s.MaxTeamsShown)
 	h.owner = owner.New(owner.Config{
 		Host: self, User: s.UpstreamUser, Password: s.UpstreamPassword, Dial: opts.Dial,
-		ControlDial: upstream.DialFunc(h.traffic.control.Wrap(opts.Dial)), HeartbeatBudget: group.DefaultHeartbeatBudget(),
+		ControlDial: upstream.DialFunc(h.traffic.control.WrapDialer(opts.Dial)), HeartbeatBudget: group.DefaultHeartbeatBudget(),
 		AnswerLimit: s.MaxAnswer, Timing: group.DefaultTiming(), DrainTimeout: s.DrainTimeout, Log: h.log,
 	})
 	h.router = router.New(self, owner.SenderName(self), h.fleet, h.owner, h.peers, h.log)
--- a/node/measure/talk.go
+++ b/node/measure/control_traffic.go
@@ -8,17 +8,18 @@
 	"github.com/dotterelswitch/dotterelswitch/node/eventlog"
 )
 
-// Talk is what the hosts sent for control for one purpose.
-type Talk struct {
+// ControlTraffic counts the control messages that hosts sent for one purpose.
+type ControlTraffic struct {
 	Purpose string
 	Count   int
-	// PerHostSecond is the mean rate of one host over the time of the logs; zero
-	// where they span no time.
+	// PerHostSecond is the mean rate per host over the time that the logs span; zero
+	// if they span no time.
 	PerHostSecond float64
 }
 
-// CountTalk sums what the hosts counted, by purpose, the most frequent first.
-func CountTalk(lines []Line) []Talk {
+// CountControlTraffic sums the counts of all hosts by purpose, the most frequent
+// first.
+func CountControlTraffic(lines []Line) []ControlTraffic {
 	hosts := map[string]bool{}
 	counts := map[string]int{}
 	var first, last time.Time
@@ -33,20 +34,20 @@
 		if l.Event != eventlog.TalkCounted.Number {
 			continue
 		}
-		for purpose, n := range l.Talk {
+		for purpose, n := range l.ControlTraffic {
 			counts[purpose] += n
 		}
 	}
 	hostSeconds := float64(len(hosts)) * last.Sub(first).Seconds()
-	var out []Talk
+	var out []ControlTraffic
 	for purpose, n := range counts {
-		t := Talk{Purpose: purpose, Count: n}
+		t := ControlTraffic{Purpose: purpose, Count: n}
 		if hostSeconds > 0 {
 			t.PerHostSecond = float64(n) / hostSeconds
 		}
 		out = append(out, t)
 	}
-	slices.SortFunc(out, func(a, b Talk) int {
+	slices.SortFunc(out, func(a, b ControlTraffic) int {
 		return cmp.Or(cmp.Compare(b.Count, a.Count), cmp.Compare(a.Purpose, b.Purpose))
 	})
 	return out
--- a/node/measure/line.go
+++ b/node/measure/line.go
@@ -1,6 +1,6 @@
-// Package measure reads the logs of a day's hosts and tells how well the system
-// decided: how long writes were unavailable when a primary was lost, and where
-// reads were served.
+// Package measure computes statistics from the hosts' logs: how long writes were
+// unavailable after the loss of a primary, where reads were served, and how many
+// control messages were sent.
 package measure
 
 import (
@@ -10,7 +10,7 @@
 	"github.com/dotterelswitch/dotterelswitch/node/eventlog"
 )
 
-// Line is one line of a log, decoded as far as the measures need it.
+// Line is one line of a log, with the fields that the statistics need.
 type Line struct {
 	Time     time.Time `json:"time"`
 	Host     string    `json:"host"`
@@ -19,22 +19,22 @@
 	Upstream string    `json:"upstream"`
 	Was      string    `json:"was"`
 	Source   string    `json:"source"`
-	// AliveAgo is how long before the line the newest thing that the member answered
-	// was sent, in milliseconds.
-	AliveAgo    float64 `json:"alive_ms_ago"`
-	Consistency string  `json:"consistency"`
-	// The sources of reads, as counts.
+	// AliveAgoMillis is the time from sending the latest request that the member
+	// answered until this line.
+	AliveAgoMillis float64 `json:"alive_ms_ago"`
+	Consistency    string  `json:"consistency"`
+	// Counts of reads by where and why they were served.
 	Replica        int `json:"replica"`
 	PrimaryByRoute int `json:"primary_by_route"`
 	PrimaryNoFloor int `json:"primary_no_floor"`
 	PrimaryBehind  int `json:"primary_behind"`
 	PrimaryDoubt   int `json:"primary_doubt"`
 	PrimarySooner  int `json:"primary_sooner"`
-	// Talk is what the host sent for control, as counts by purpose.
-	Talk map[string]int `json:"talk"`
+	// ControlTraffic counts the control messages that the host sent, by purpose.
+	ControlTraffic map[string]int `json:"talk"`
 }
 
-// Parse decodes a line. It reports false for lines that are no event.
+// Parse decodes a line. It reports false for lines that are not events.
 func Parse(text string) (Line, bool) {
 	var l Line
 	object, found := eventlog.Object(text)
--- a/node/measure/measure_test.go
+++ b/node/measure/measure_test.go
@@ -9,8 +9,8 @@
 	"github.com/dotterelswitch/dotterelswitch/node/measure"
 )
 
-// The lines of a failover of one service, another service's lines between them, as
-// hosts write them behind a collector's prefix.
+// failover holds the lines of one service's failover, with a line of another
+// service and a line that has a log collector's prefix.
 var failover = []string{
 	`  2.5 a {"host":"a","service":"s","event":408,"name":"primary_believed_dead","upstream":"m1","alive_ms_ago":600,"time":"2026-06-22T10:00:02.500Z"}`,
 	`{"host":"b","service":"s","event":408,"name":"primary_believed_dead","upstream":"m1","alive_ms_ago":550,"time":"2026-06-22T10:00:02.520Z"}`,
@@ -35,29 +35,29 @@
 	return out
 }
 
-func TestPartsOfAFailover(t *testing.T) {
+func TestPhasesOfFailover(t *testing.T) {
 	const ms = time.Millisecond
-	losses := measure.Losses(parse(t, failover...))
-	require.Equal(t, []measure.Loss{{
+	losses := measure.FindPrimaryLosses(parse(t, failover...))
+	require.Equal(t, []measure.PrimaryLoss{{
 		Service: "s", Lost: "m1", Next: "m2", At: time.Date(2026, 6, 22, 10, 0, 1, 970e6, time.UTC),
 		Believed: 530 * ms, Agreed: 630 * ms, Ordered: 730 * ms, Leads: 1040 * ms,
 		KnownHalf: 1060 * ms, KnownAll: 1060 * ms, FirstWrite: 1100 * ms,
 	}}, losses)
 }
 
-func TestPrimaryThatLivedIsTold(t *testing.T) {
+func TestPrimaryThatWasAliveIsMarked(t *testing.T) {
 	lines := append(parse(t, failover...), parse(t,
 		`{"host":"b","service":"s","event":403,"upstream":"","was":"m1","source":"refused as replica","time":"2026-06-22T10:00:03.200Z"}`)...)
-	require.True(t, measure.Losses(lines)[0].Living)
+	require.True(t, measure.FindPrimaryLosses(lines)[0].Living)
 }
 
-// TestPlannedReplacementIsNoLoss: nobody believed the primary lost.
+// Without a host that considered the primary lost, a promotion was planned.
 func TestPlannedReplacementIsNoLoss(t *testing.T) {
-	require.Empty(t, measure.Losses(parse(t, failover[3:]...)))
-	require.Empty(t, measure.Losses(nil))
+	require.Empty(t, measure.FindPrimaryLosses(parse(t, failover[3:]...)))
+	require.Empty(t, measure.FindPrimaryLosses(nil))
 }
 
-func TestSharesOfReads(t *testing.T) {
+func TestReplicaShareOfReads(t *testing.T) {
 	reads := measure.CountReads(parse(t,
 		`{"host":"a","service":"s","event":315,"consistency":"bounded_staleness","replica":90,"primary_no_floor":4,"time":"2026-06-22T10:00:05Z"}`,
 		`{"host":"b","service":"s","event":315,"consistency":"bounded_staleness","replica":6,"time":"2026-06-22T10:00:05Z"}`,
@@ -65,28 +65,28 @@
 		failover[0]))
 	require.Len(t, reads, 2)
 	require.Equal(t, measure.Reads{Consistency: "bounded_staleness", Replica: 96, NoFloor: 4}, reads[0])
-	require.InDelta(t, 0.96, reads[0].Share(), 1e-9)
-	require.Zero(t, reads[1].Share())
-	require.Zero(t, measure.Reads{}.Share())
+	require.InDelta(t, 0.96, reads[0].ReplicaShare(), 1e-9)
+	require.Zero(t, reads[1].ReplicaShare())
+	require.Zero(t, measure.Reads{}.ReplicaShare())
 }
 
-func TestOtherLinesArePassedOver(t *testing.T) {
+func TestLinesThatAreNotEventsAreSkipped(t *testing.T) {
 	for _, text := range []string{"", "plain", "{", `{"a":1}`} {
 		_, ok := measure.Parse(text)
 		require.False(t, ok, text)
 	}
 }
 
-// TestTalkByPurpose: a rate is of one host and second, over the time of the logs.
-func TestTalkByPurpose(t *testing.T) {
+// Rates are per host and second, over the time that the logs span.
+func TestControlTrafficByPurpose(t *testing.T) {
 	lines := parse(t,
 		`{"host":"a","event":101,"name":"host_started","time":"2026-06-22T10:00:00Z"}`,
 		`{"host":"a","event":316,"name":"talk_counted","talk":{"store watch ok":12,"datagram floor":3},"time":"2026-06-22T10:00:05Z"}`,
 		`{"host":"b","event":316,"name":"talk_counted","talk":{"datagram floor":1},"time":"2026-06-22T10:00:04Z"}`,
 	)
-	require.Equal(t, []measure.Talk{
+	require.Equal(t, []measure.ControlTraffic{
 		{Purpose: "store watch ok", Count: 12, PerHostSecond: 1.2},
 		{Purpose: "datagram floor", Count: 4, PerHostSecond: 0.4},
-	}, measure.CountTalk(lines))
-	require.Empty(t, measure.CountTalk(nil))
+	}, measure.CountControlTraffic(lines))
+	require.Empty(t, measure.CountControlTraffic(nil))
 }
--- a/node/measure/reads.go
+++ b/node/measure/reads.go
@@ -7,28 +7,28 @@
 	"github.com/dotterelswitch/dotterelswitch/node/eventlog"
 )
 
-// Reads counts where the reads of a kind of route were served.
+// Reads counts where reads were served, for one consistency of routes.
 type Reads struct {
 	Consistency string
 	Replica     int
-	// The reads of the primary, by why they went there.
+	// Reads served by the primary, by reason.
 	ByRoute, NoFloor, Behind, Doubt, Sooner int
 }
 
-// Total returns how many reads there were.
 func (r Reads) Total() int {
 	return r.Replica + r.ByRoute + r.NoFloor + r.Behind + r.Doubt + r.Sooner
 }
 
-// Share returns the share of the reads that replicas served; zero for none.
-func (r Reads) Share() float64 {
+// ReplicaShare returns the fraction of reads that replicas served, or zero if there
+// were no reads.
+func (r Reads) ReplicaShare() float64 {
 	if r.Total() == 0 {
 		return 0
 	}
 	return float64(r.Replica) / float64(r.Total())
 }
 
-// CountReads sums what the hosts counted, by kind of route.
+// CountReads sums the read counts of all hosts, by consistency.
 func CountReads(lines []Line) []Reads {
 	at := map[string]*Reads{}
 	for _, l := range lines {
--- a/node/netcount/counter.go
+++ b/node/netcount/counter.go
@@ -1,5 +1,5 @@
-// Package netcount counts the bytes of a host's own connections by purpose, so
-// that the cost of control can be held against its budget.
+// Package netcount counts the bytes that a host sends and receives on its control
+// connections.
 package netcount
 
 import (
@@ -8,19 +8,19 @@
 	"sync/atomic"
 )
 
-// Dial opens a network connection.
-type Dial func(ctx context.Context, network, addr string) (net.Conn, error)
+// DialFunc opens a network connection.
+type DialFunc func(ctx context.Context, network, addr string) (net.Conn, error)
 
-// Counter sums the bytes of the connections that one dialler opened.
+// Counter counts the bytes of all connections of the dialers it wraps.
 type Counter struct {
 	sent, received atomic.Int64
 }
 
-// Total returns the bytes sent and received.
+// Total returns the sum of the bytes sent and received.
 func (c *Counter) Total() int64 { return c.sent.Load() + c.received.Load() }
 
-// Wrap returns a dialler whose connections are counted.
-func (c *Counter) Wrap(dial Dial) Dial {
+// WrapDialer returns a dialer whose connections are counted.
+func (c *Counter) WrapDialer(dial DialFunc) DialFunc {
 	return func(ctx context.Context, network, addr string) (net.Conn, error) {
 		conn, err := dial(ctx, network, addr)
 		if err != nil {
@@ -30,7 +30,6 @@
 	}
 }
 
-// countedConn counts what passes through a connection.
 type countedConn struct {
 	net.Conn
 	counter *Counter
--- a/node/quietlog/logger.go
+++ b/node/quietlog/logger.go
@@ -1,7 +1,7 @@
-// Package quietlog keeps libraries from writing logs of their own.
+// Package quietlog provides a logger that silences libraries.
 package quietlog
 
-// Logger drops all lines: a host logs its events itself.
+// Logger discards everything. It implements the Logger interface of gnet.
 type Logger struct{}
 
 func (Logger) Debugf(string, ...any) {}
--- a/node/version/version.go
+++ b/node/version/version.go
@@ -1,4 +1,4 @@
-// Package version names the release.
+// Package version holds the version of this release.
 package version
 
 // Text is the version that --version prints.
