--- a/node/soak/check.go
+++ b/node/soak/check.go
@@ -122,7 +122,7 @@
 // checkTransactions finds statements that ran in another caller's transaction, or
 // outside of their own.
 func (c *checker) checkTransactions(requests map[string]*request) {
-	users := map[uint64]*request{}
+	firstInTx := map[uint64]*request{}
 	for _, run := range c.runs {
 		r, found := requests[run.ID]
 		if strings.HasPrefix(run.ID, serviceCheckPrefix) {
@@ -138,9 +138,9 @@
 			}
 			continue
 		}
-		first, used := users[run.Tx]
+		first, used := firstInTx[run.Tx]
 		if !used {
-			users[run.Tx] = r
+			firstInTx[run.Tx] = r
 			continue
 		}
 		if first.tx != r.tx || (r.tx == nil && first != r) {
--- a/node/soak/inject.go
+++ b/node/soak/inject.go
@@ -139,9 +139,9 @@
 	m.LoseAnswers(lostAnswerCount)
 }
 
-func (s *soakRun) crashAndRestart(m *lineplatform.Member, down time.Duration) {
+func (s *soakRun) crashAndRestart(m *lineplatform.Member, downtime time.Duration) {
 	m.Crash()
-	time.Sleep(down)
+	time.Sleep(downtime)
 	if m.Gone() {
 		return
 	}
@@ -151,9 +151,9 @@
 }
 
 // restartEmpty crashes a member and restarts it without its log.
-func (s *soakRun) restartEmpty(m *lineplatform.Member, down time.Duration) {
+func (s *soakRun) restartEmpty(m *lineplatform.Member, downtime time.Duration) {
 	m.Crash()
-	time.Sleep(down)
+	time.Sleep(downtime)
 	if m.Gone() {
 		return
 	}
