--- a/node/demo/demo.go
+++ b/node/demo/demo.go
@@ -1,5 +1,5 @@
-// Package demo runs a whole deployment in one process: stand-ins, hosts with
-// real listeners, load and a fault, and reports what the callers saw.
+// Package demo runs a complete deployment in one process: stand-ins, hosts with
+// real listeners, load and faults. It reports what the callers observed.
 package demo
 
 import (
@@ -22,7 +22,7 @@
 	"github.com/dotterelswitch/dotterelswitch/standin/workload"
 )
 
-// Options describe a demo.
+// Options configure a demo.
 type Options struct {
 	Workload string
 	Faults   []Fault
@@ -30,35 +30,36 @@
 	Callers  int
 	Duration time.Duration
 	Seed     uint64
-	// Progress takes lines for a person; it may be io.Discard.
+	// Progress receives human-readable status lines.
 	Progress io.Writer
 	Log      zerolog.Logger
 }
 
-// entryHost is one host of the demo.
-type entryHost struct {
+type demoHost struct {
 	host     *host.Host
 	settings settings.Settings
-	dead     bool
+	stopped  bool
 }
 
 // demo is a run in progress.
 type demo struct {
-	opts  Options
-	spec  workload.Spec
-	dep   *workload.Deployment
-	hosts []*entryHost
-	// restarts counts planned restarts.
+	opts       Options
+	spec       workload.Spec
+	deployment *workload.Deployment
+	hosts      []*demoHost
+	// restarts counts hosts that were restarted as planned.
 	restarts int
 }
 
 // readyTimeout bounds the start of all hosts.
 const readyTimeout = 20 * time.Second
 
-// settleTime lets pools be taken and members be probed before load begins.
-const settleTime = time.Second
+const readyPollInterval = 20 * time.Millisecond
 
-// Run performs a demo and returns what was measured.
+// settleDelay leaves hosts time to probe members before the load starts.
+const settleDelay = time.Second
+
+// Run runs a demo and returns its measurements.
 func Run(ctx context.Context, opts Options) (*workload.Report, error) {
 	spec, err := workload.Get(opts.Workload)
 	if err != nil {
@@ -69,24 +70,23 @@
 	if err := d.start(ctx); err != nil {
 		return nil, err
 	}
-	return d.load(ctx)
+	return d.runLoad(ctx)
 }
 
-func (d *demo) sayf(format string, args ...any) {
+func (d *demo) progressf(format string, args ...any) {
 	_, _ = fmt.Fprintf(d.opts.Progress, format+"\n", args...)
 }
 
-// start brings up the stand-ins, puts the configuration in place and starts
-// the hosts.
+// start starts the stand-ins, publishes the configuration and starts the hosts.
 func (d *demo) start(ctx context.Context) error {
 	var err error
-	if d.dep, err = workload.Deploy(d.spec); err != nil {
+	if d.deployment, err = workload.Deploy(d.spec); err != nil {
 		return err
 	}
-	if err := Publish(ctx, d.dep.Platform.Addr(), d.dep.Items()); err != nil {
+	if err := Publish(ctx, d.deployment.Platform.Addr(), d.deployment.Items()); err != nil {
 		return err
 	}
-	d.sayf("%s: %d services of %d members in %d availability zones", d.spec.Name, d.spec.Services, len(d.spec.Zones), len(d.spec.Zones))
+	d.progressf("%s: %d services of %d members in %d availability zones", d.spec.Name, d.spec.Services, len(d.spec.Zones), len(d.spec.Zones))
 	for i := range d.opts.Hosts {
 		if err := d.startHost(i); err != nil {
 			return err
@@ -95,11 +95,11 @@
 	if err := d.awaitReady(ctx); err != nil {
 		return err
 	}
-	d.sayf("%d hosts serve", len(d.hosts))
+	d.progressf("%d hosts serve", len(d.hosts))
 	return nil
 }
 
-// Publish makes items the first change of the log.
+// Publish submits items as the first change of the configuration.
 func Publish(ctx context.Context, address string, items conf.Items) error {
 	client := consul.NewClient(address, (&net.Dialer{}).DialContext)
 	_, err := confstore.New(client).Submit(ctx, "initial", func(*conf.Config) (conf.Items, conf.Names, error) {
@@ -110,47 +110,49 @@
 
 func (d *demo) startHost(i int) error {
 	zone := d.spec.Zone(i)
-	s, err := loopbackSettings(fmt.Sprintf("host-%d", i+1), zone, d.dep.Platform.Addr())
+	s, err := loopbackSettings(fmt.Sprintf("host-%d", i+1), zone, d.deployment.Platform.Addr())
 	if err != nil {
 		return err
 	}
-	d.dep.Network.Place(s.Listen, zone)
-	d.dep.Network.Place(s.Peer, zone)
-	h, err := d.launch(s)
+	d.deployment.Network.Place(s.Listen, zone)
+	d.deployment.Network.Place(s.Peer, zone)
+	h, err := d.launchHost(s)
 	if err != nil {
 		return err
 	}
-	d.hosts = append(d.hosts, &entryHost{host: h, settings: s})
+	d.hosts = append(d.hosts, &demoHost{host: h, settings: s})
 	return nil
 }
 
-// launch starts a host in the emulated network.
-func (d *demo) launch(s settings.Settings) (*host.Host, error) {
-	dialer := &netem.Dialer{Network: d.dep.Network, From: s.Zone}
+// launchHost starts a host in the emulated network.
+func (d *demo) launchHost(s settings.Settings) (*host.Host, error) {
+	dialer := &netem.Dialer{Network: d.deployment.Network, From: s.Zone}
 	return host.Start(host.Options{Settings: s, Dial: dialer.DialContext, ListenPacket: d.listenPacket(s.Zone), Log: d.opts.Log})
 }
 
-// listenPacket returns how a host in a zone opens its socket for datagrams.
+// listenPacket returns the function with which a host in a zone opens its UDP
+// socket.
 func (d *demo) listenPacket(zone string) func(string) (net.PacketConn, error) {
 	return func(address string) (net.PacketConn, error) {
-		plain, err := net.ListenPacket("udp", address)
+		conn, err := net.ListenPacket("udp", address)
 		if err != nil {
 			return nil, err
 		}
-		return &netem.PacketConn{PacketConn: plain, Network: d.dep.Network, From: zone}, nil
+		return &netem.PacketConn{PacketConn: conn, Network: d.deployment.Network, From: zone}, nil
 	}
 }
 
-// loopbackSettings returns settings with free ports.
+// loopbackSettings returns the settings of a host that listens on free loopback
+// ports.
 func loopbackSettings(id, zone, platformAddress string) (settings.Settings, error) {
 	s := settings.Default()
 	s.ID, s.Zone, s.Platform, s.PeerKey = id, zone, platformAddress, "demo"
-	for _, target := range []*string{&s.Listen, &s.Peer, &s.Metrics} {
+	for _, field := range []*string{&s.Listen, &s.Peer, &s.Metrics} {
 		address, err := loopback.FreeAddress()
 		if err != nil {
 			return s, err
 		}
-		*target = address
+		*field = address
 	}
 	return s, s.Check()
 }
@@ -169,14 +171,14 @@
 		if ready == len(d.hosts) && owned == d.spec.Services*len(d.spec.Zones) {
 			break
 		}
-		if err := wait(ctx, 20*time.Millisecond); err != nil {
+		if err := sleep(ctx, readyPollInterval); err != nil {
 			return fmt.Errorf("%d of %d hosts became ready and %d pools were held: %w", ready, len(d.hosts), owned, err)
 		}
 	}
-	return wait(ctx, settleTime)
+	return sleep(ctx, settleDelay)
 }
 
-func wait(ctx context.Context, d time.Duration) error {
+func sleep(ctx context.Context, d time.Duration) error {
 	select {
 	case <-time.After(d):
 		return nil
@@ -185,11 +187,11 @@
 	}
 }
 
-// load drives the callers, injects the faults and collects the report.
-func (d *demo) load(ctx context.Context) (*workload.Report, error) {
+// runLoad runs the callers, injects the faults and collects the report.
+func (d *demo) runLoad(ctx context.Context) (*workload.Report, error) {
 	l := workload.Start(ctx, workload.Options{
 		Spec: d.spec, Entries: d.entries(), Callers: d.opts.Callers, Duration: d.opts.Duration,
-		Seed: d.opts.Seed, Upstreams: d.dep.UpstreamAddresses(),
+		Seed: d.opts.Seed, Upstreams: d.deployment.UpstreamAddresses(),
 	})
 	faultCtx, stop := context.WithCancel(ctx)
 	defer stop()
@@ -202,28 +204,28 @@
 	if err != nil {
 		return nil, err
 	}
-	d.complete(report)
+	d.completeReport(report)
 	return report, nil
 }
 
-func (d *demo) complete(r *workload.Report) {
+func (d *demo) completeReport(r *workload.Report) {
 	r.Hosts = len(d.hosts)
 	r.Fault = faultNames(d.opts.Faults)
-	r.SlotBreaches = d.dep.SlotBreaches()
+	r.SlotBreaches = d.deployment.SlotBreaches()
 	r.Restarts = d.restarts
-	r.ConnectionsRefused = d.dep.ConnectionsRefused()
-	r.StoreCalls, _ = d.dep.Platform.Calls()
+	r.ConnectionsRefused = d.deployment.ConnectionsRefused()
+	r.StoreCalls, _ = d.deployment.Platform.Calls()
 	for _, h := range d.hosts {
 		r.Promotions += h.host.Promotions()
 	}
 }
 
-// entries returns the hosts' addresses for callers. A caller is in the zone of
-// the host that it was sent to, as behind a balancer.
+// entries returns the hosts' addresses for callers. A caller is in the zone of its
+// host, as behind a zone-aware load balancer.
 func (d *demo) entries() []workload.Entry {
 	out := make([]workload.Entry, 0, len(d.hosts))
 	for _, h := range d.hosts {
-		dialer := &netem.Dialer{Network: d.dep.Network, From: h.settings.Zone, Extra: d.spec.CallerDelay}
+		dialer := &netem.Dialer{Network: d.deployment.Network, From: h.settings.Zone, Extra: d.spec.CallerDelay}
 		out = append(out, workload.Entry{Address: h.settings.Listen, Dial: dialer.DialContext})
 	}
 	return out
@@ -232,20 +234,20 @@
 const progressInterval = 2 * time.Second
 
 func (d *demo) showProgress(ctx context.Context, l *workload.Load) {
-	for wait(ctx, progressInterval) == nil {
+	for sleep(ctx, progressInterval) == nil {
 		v, c := l.Progress()
-		d.sayf("  %6d reads, %5d writes acknowledged, %d refused, %d unknown, violations so far: %t",
+		d.progressf("  %6d reads, %5d writes acknowledged, %d refused, %d unknown, violations so far: %t",
 			c.Reads, c.WritesAcked, c.RefusedNotRun, c.WritesUnknown, v.Any())
 	}
 }
 
 func (d *demo) close() {
 	for _, h := range d.hosts {
-		if !h.dead {
+		if !h.stopped {
 			h.host.Kill()
 		}
 	}
-	if d.dep != nil {
-		d.dep.Close()
+	if d.deployment != nil {
+		d.deployment.Close()
 	}
 }
--- a/node/demo/demo_test.go
+++ b/node/demo/demo_test.go
@@ -11,9 +11,9 @@
 	"github.com/dotterelswitch/dotterelswitch/node/demo"
 )
 
-// TestPromisesHold runs whole deployments over real sockets with faults. It
-// judges promises and that work goes on, never how long anything took.
-func TestPromisesHold(t *testing.T) {
+// TestGuaranteesHoldUnderFaults runs complete deployments over real sockets. It
+// checks guarantees and that requests are served, but no durations.
+func TestGuaranteesHoldUnderFaults(t *testing.T) {
 	for _, tc := range []struct {
 		workload string
 		faults   string
@@ -37,7 +37,7 @@
 			require.False(t, report.Violations.Any(), "%+v %v", report.Violations, report.Errors)
 			require.Positive(t, report.WritesAcked)
 			require.Positive(t, report.Reads)
-			require.Zero(t, report.SlotBreaches, "more statements than slots")
+			require.Zero(t, report.SlotBreaches, "more concurrent statements than slots")
 			if tc.faults == "rolling-restart" {
 				require.Positive(t, report.Restarts)
 				require.Zero(t, report.CutRequests)
@@ -57,7 +57,7 @@
 	}
 }
 
-func TestUnknownNames(t *testing.T) {
+func TestUnknownFaultIsRejected(t *testing.T) {
 	_, err := demo.ParseFaults("primary-crash+earthquake")
 	var unknown *demo.FaultError
 	require.ErrorAs(t, err, &unknown)
--- a/node/demo/fault.go
+++ b/node/demo/fault.go
@@ -15,7 +15,7 @@
 	"github.com/dotterelswitch/dotterelswitch/standin/workload"
 )
 
-// Fault names a failure that a demo injects.
+// Fault is a failure or planned operation that a demo injects.
 type Fault string
 
 // The faults.
@@ -26,26 +26,24 @@
 	FaultHostKill         Fault = "host-kill"
 	FaultStoreOutage      Fault = "store-outage"
 	FaultAZCut            Fault = "az-cut"
-	// FaultRollingRestart is no failure: every host is stopped as planned and
-	// started again, one after the other.
+	// FaultRollingRestart stops and restarts the hosts as planned, one after the other.
 	FaultRollingRestart Fault = "rolling-restart"
-	// FaultDrainPrimary is no failure either: a primary is declared to leave.
+	// FaultDrainPrimary declares a drain of a primary.
 	FaultDrainPrimary Fault = "drain-primary"
 )
 
-// AllFaults lists the faults.
 func AllFaults() []Fault {
 	return []Fault{FaultNone, FaultPrimaryCrash, FaultPrimaryPartition, FaultHostKill, FaultStoreOutage, FaultAZCut, FaultRollingRestart, FaultDrainPrimary}
 }
 
-// FaultError reports a fault that does not exist.
+// FaultError reports an unknown fault name.
 type FaultError struct{ Name string }
 
 func (e *FaultError) Error() string {
 	return fmt.Sprintf("fault %q is not known; allowed are %v, or several joined by +", e.Name, AllFaults())
 }
 
-// ParseFaults reads one fault or several joined by a plus sign.
+// ParseFaults parses one fault or several joined by a plus sign.
 func ParseFaults(text string) ([]Fault, error) {
 	var out []Fault
 	for name := range strings.SplitSeq(text, "+") {
@@ -66,37 +64,37 @@
 	return strings.Join(names, "+")
 }
 
-// Faults begin after a quarter of the run and end after three fifths of it.
+// The start and end of faults, as fractions of the run's duration.
 const (
-	faultStart = 0.25
-	faultEnd   = 0.6
+	faultStartFraction = 0.25
+	faultEndFraction   = 0.6
 )
 
-// inject starts every fault at once and ends those that can end.
+// inject starts all faults together and later reverts those that can be reverted.
 func (d *demo) inject(ctx context.Context, l *workload.Load) {
-	if wait(ctx, time.Duration(faultStart*float64(d.opts.Duration))) != nil {
+	if sleep(ctx, time.Duration(faultStartFraction*float64(d.opts.Duration))) != nil {
 		return
 	}
-	var undo []func()
+	var reverts []func()
 	for _, f := range d.opts.Faults {
-		d.sayf("fault: %s", f)
-		if end := d.begin(ctx, f, l); end != nil {
-			undo = append(undo, end)
+		d.progressf("fault: %s", f)
+		if revert := d.startFault(ctx, f, l); revert != nil {
+			reverts = append(reverts, revert)
 		}
 	}
-	if wait(ctx, time.Duration((faultEnd-faultStart)*float64(d.opts.Duration))) != nil {
+	if sleep(ctx, time.Duration((faultEndFraction-faultStartFraction)*float64(d.opts.Duration))) != nil {
 		return
 	}
-	for _, end := range undo {
-		end()
+	for _, revert := range reverts {
+		revert()
 	}
-	if len(undo) > 0 {
-		d.sayf("faults end")
+	if len(reverts) > 0 {
+		d.progressf("faults end")
 	}
 }
 
-// begin starts a fault and returns what ends it, if anything does.
-func (d *demo) begin(ctx context.Context, f Fault, l *workload.Load) func() {
+// startFault starts a fault and returns the function that reverts it, or nil.
+func (d *demo) startFault(ctx context.Context, f Fault, l *workload.Load) func() {
 	switch f {
 	case FaultPrimaryCrash:
 		return d.crashPrimary(l)
@@ -105,12 +103,12 @@
 	case FaultHostKill:
 		d.killHost()
 	case FaultStoreOutage:
-		d.dep.Platform.SetOutage(true)
-		return func() { d.dep.Platform.SetOutage(false) }
+		d.deployment.Platform.SetOutage(true)
+		return func() { d.deployment.Platform.SetOutage(false) }
 	case FaultAZCut:
 		return d.cutZone(l)
 	case FaultRollingRestart:
-		d.restartAll(ctx)
+		d.rollingRestart(ctx)
 	case FaultDrainPrimary:
 		return d.drainPrimary(ctx)
 	}
@@ -118,7 +116,7 @@
 }
 
 func (d *demo) crashPrimary(l *workload.Load) func() {
-	g := d.dep.Groups[0]
+	g := d.deployment.Groups[0]
 	m := g.Primary()
 	if m == nil {
 		return nil
@@ -128,74 +126,74 @@
 	return func() { _ = m.Restart() }
 }
 
-// partitionPrimary cuts the primary's machine off from everything.
+// partitionPrimary disconnects the primary from all availability zones.
 func (d *demo) partitionPrimary(l *workload.Load) func() {
-	g := d.dep.Groups[0]
+	g := d.deployment.Groups[0]
 	m := g.Primary()
 	if m == nil {
 		return nil
 	}
 	l.Fault(g.Name())
 	for _, z := range d.spec.Zones {
-		d.dep.Network.Cut(m.Addr(), z.Name)
+		d.deployment.Network.Cut(m.Addr(), z.Name)
 	}
 	return func() {
 		for _, z := range d.spec.Zones {
-			d.dep.Network.Heal(m.Addr(), z.Name)
+			d.deployment.Network.Heal(m.Addr(), z.Name)
 		}
 	}
 }
 
-// killHost ends the first host, without a word to anyone.
+// killHost stops the first host without a graceful shutdown.
 func (d *demo) killHost() {
 	h := d.hosts[0]
-	h.dead = true
+	h.stopped = true
 	h.host.Kill()
 }
 
-// cutZone cuts the zone of the first group's primary off from the others. The
-// services whose primary is there get a new one.
+// cutZone disconnects the zone of the first group's primary from the other zones.
+// Every service whose primary is in that zone fails over.
 func (d *demo) cutZone(l *workload.Load) func() {
-	m := d.dep.Groups[0].Primary()
+	m := d.deployment.Groups[0].Primary()
 	if m == nil {
 		return nil
 	}
 	zone := m.Zone()
-	for _, g := range d.dep.Groups {
-		if inZone(g, zone) {
+	for _, g := range d.deployment.Groups {
+		if primaryInZone(g, zone) {
 			l.Fault(g.Name())
 		}
 	}
-	d.dep.Network.Isolate(zone, true)
-	return func() { d.dep.Network.Isolate(zone, false) }
+	d.deployment.Network.Isolate(zone, true)
+	return func() { d.deployment.Network.Isolate(zone, false) }
 }
 
-func inZone(g *dbgroup.Group, zone string) bool {
+func primaryInZone(g *dbgroup.Group, zone string) bool {
 	p := g.Primary()
 	return p != nil && p.Zone() == zone
 }
 
-// drainPrimary declares that the first group's primary leaves.
+// drainPrimary declares a drain of the first group's primary.
 func (d *demo) drainPrimary(ctx context.Context) func() {
-	g := d.dep.Groups[0]
+	g := d.deployment.Groups[0]
 	m := g.Primary()
 	if m == nil {
 		return nil
 	}
 	drain := []conf.Drain{{Kind: conf.DrainUpstream, Name: m.Name()}}
-	if err := d.change(ctx, "drain", conf.Items{Drains: drain}, conf.Names{}); err != nil {
-		d.sayf("  the drain was not accepted: %v", err)
+	if err := d.submitChange(ctx, "drain", conf.Items{Drains: drain}, conf.Names{}); err != nil {
+		d.progressf("  the drain was not accepted: %v", err)
 	}
 	return func() {
-		if err := d.change(ctx, "undrain", conf.Items{}, conf.Names{Drains: drain}); err != nil {
-			d.sayf("  the end of the drain was not accepted: %v", err)
+		if err := d.submitChange(ctx, "undrain", conf.Items{}, conf.Names{Drains: drain}); err != nil {
+			d.progressf("  the end of the drain was not accepted: %v", err)
 		}
 	}
 }
 
-// change submits a change of the configuration.
-func (d *demo) change(ctx context.Context, id string, put conf.Items, del conf.Names) error {
-	client := consul.NewClient(d.dep.Platform.Addr(), (&net.Dialer{}).DialContext)
+// submitChange submits a change of the configuration.
+func (d *demo) submitChange(ctx context.Context, id string, put conf.Items, del conf.Names) error {
+	client := consul.NewClient(d.deployment.Platform.Addr(), (&net.Dialer{}).DialContext)
 	_, err := confstore.New(client).Submit(ctx, id, func(*conf.Config) (conf.Items, conf.Names, error) {
 		return put, del, nil
 	})
--- a/node/demo/restart.go
+++ b/node/demo/restart.go
@@ -6,32 +6,32 @@
 )
 
 const (
-	// stopTimeout bounds one planned stop.
+	// stopTimeout bounds the graceful stop of one host.
 	stopTimeout = 20 * time.Second
-	// betweenRestarts is the pause after a host is back.
-	betweenRestarts = 500 * time.Millisecond
+	// restartPause follows the restart of each host.
+	restartPause = 500 * time.Millisecond
 )
 
-// restartAll stops and starts every host, one after the other, until the load
-// is over.
-func (d *demo) restartAll(ctx context.Context) {
+// rollingRestart stops and restarts the hosts one after the other, until the load
+// has ended.
+func (d *demo) rollingRestart(ctx context.Context) {
 	for _, h := range d.hosts {
 		if ctx.Err() != nil {
 			return
 		}
-		bounded, cancel := context.WithTimeout(context.Background(), stopTimeout)
+		stopCtx, cancel := context.WithTimeout(context.Background(), stopTimeout)
 		started := time.Now()
-		clean := h.host.Stop(bounded)
+		clean := h.host.Stop(stopCtx)
 		cancel()
-		d.sayf("  %s stopped in %d ms, clean: %t", h.settings.ID, time.Since(started).Milliseconds(), clean)
-		next, err := d.launch(h.settings)
+		d.progressf("  %s stopped in %d ms, clean: %t", h.settings.ID, time.Since(started).Milliseconds(), clean)
+		next, err := d.launchHost(h.settings)
 		if err != nil {
-			h.dead = true
-			d.sayf("  %s did not start again: %v", h.settings.ID, err)
+			h.stopped = true
+			d.progressf("  %s did not start again: %v", h.settings.ID, err)
 			return
 		}
 		h.host = next
 		d.restarts++
-		_ = wait(ctx, betweenRestarts)
+		_ = sleep(ctx, restartPause)
 	}
 }
--- a/node/demo/text.go
+++ b/node/demo/text.go
@@ -9,7 +9,7 @@
 	"github.com/dotterelswitch/dotterelswitch/standin/workload"
 )
 
-// WriteText prints a report for a person.
+// WriteText prints a report in human-readable form.
 func WriteText(w io.Writer, r *workload.Report) {
 	line := func(format string, args ...any) { _, _ = fmt.Fprintf(w, format+"\n", args...) }
 	line("")
