--- a/node/cmd/dotterelctl/platform_demo.go
+++ b/node/cmd/dotterelctl/platform_demo.go
@@ -47,7 +47,7 @@
 	} else {
 		report.WriteText(os.Stdout)
 	}
-	if report.Broken() {
+	if report.HasViolations() {
 		return errBroken
 	}
 	return nil
--- a/node/platformdemo/caller.go
+++ b/node/platformdemo/caller.go
@@ -11,12 +11,12 @@
 )
 
 const (
-	answerTimeout = 2 * statementTime
-	// pause is a caller's rest between operations, and after a refusal.
-	pause = 10 * time.Millisecond
+	answerTimeout = 2 * statementTimeout
+	// thinkTime is a caller's pause between operations and after a refused login.
+	thinkTime = 10 * time.Millisecond
 )
 
-// runCaller writes items of its own and reads them back until the run ends.
+// runCaller writes items and reads them back until the context is cancelled.
 func runCaller(ctx context.Context, n int, address string, group *lineplatform.Group, report *Report) {
 	database := []string{"submissions", "alerts"}[n%2]
 	team := teams()[n%len(teams())]
@@ -24,74 +24,76 @@
 		name := callerName(team, n, session)
 		c, err := linecaller.OpenWithKey(address, database, team.Keys[0], name, answerTimeout)
 		if err != nil {
-			report.notOpened(team.Name, err)
-			report.add(&report.Reconnects)
-			time.Sleep(pause)
+			report.countOpenFailure(team.Name, err)
+			report.increment(&report.Reconnects)
+			time.Sleep(thinkTime)
 			continue
 		}
-		for item := 0; ctx.Err() == nil && operate(c, team.Name, fmt.Sprintf("%s-%d", name, item), group, report); item++ {
-			time.Sleep(pause)
+		for item := 0; ctx.Err() == nil && writeAndReadBack(c, team.Name, fmt.Sprintf("%s-%d", name, item), group, report); item++ {
+			time.Sleep(thinkTime)
 		}
 		c.Close()
 	}
 }
 
-// operate writes one item and reads it; it reports whether the session lives.
-func operate(c *linecaller.Session, team, item string, group *lineplatform.Group, report *Report) bool {
+// writeAndReadBack writes one item and reads it. It reports whether the session is
+// still usable.
+func writeAndReadBack(c *linecaller.Session, team, item string, group *lineplatform.Group, report *Report) bool {
 	w, err := c.Run("STORE " + item + " " + item)
 	if err != nil {
 		return false
 	}
-	kept := group.Committed(w.ID)
-	if kept > 1 {
-		report.add(&report.Twice)
+	commits := group.Committed(w.ID)
+	if commits > 1 {
+		report.increment(&report.CommittedTwice)
 	}
-	if linecaller.Promised(w.Code) && kept > 0 {
-		report.add(&report.KeptThoughRefused)
+	if linecaller.Promised(w.Code) && commits > 0 {
+		report.increment(&report.CommittedThoughRefused)
 	}
-	report.count(team, w.Code)
+	report.countResult(team, w.Code)
 	if w.Code != "" {
 		return true
 	}
-	report.wrote(time.Now())
+	report.recordWrite(time.Now())
 	term := group.Term()
 	read, err := c.Run("FETCH " + item)
 	if err != nil {
 		return false
 	}
-	report.count(team, read.Code)
-	// A promotion may roll back what was acknowledged without confirmation.
+	report.countResult(team, read.Code)
+	// A promotion may roll back a write that was acknowledged before replicas had it,
+	// so only reads in the term of the write are checked.
 	if read.Code == "" && read.Rows[0] != item && group.Term() == term && group.Commit(w.ID).Term == term {
-		report.add(&report.LostOwnWrite)
+		report.increment(&report.OwnWriteNotSeen)
 	}
 	return true
 }
 
-// unauthorized is the code for a key that no team holds.
+// unauthorized is the code of refusals for an unknown key.
 const unauthorized = "UNAUTH"
 
-// notOpened notes a session that was not opened.
-func (r *Report) notOpened(team string, err error) {
+// countOpenFailure counts a failure to open a session, if the key was refused.
+func (r *Report) countOpenFailure(team string, err error) {
 	var refused *linecaller.RefusedError
 	if errors.As(err, &refused) && refused.Code() == unauthorized {
-		r.add(&r.Teams[team].Unauthorized)
+		r.increment(&r.Teams[team].Unauthorized)
 	}
 }
 
-// count notes how a statement of a team ended.
-func (r *Report) count(team, code string) {
+// countResult counts the result of a statement of a team.
+func (r *Report) countResult(team, code string) {
 	switch {
 	case code == "":
-		r.add(&r.Served)
-		r.add(&r.Teams[team].Served)
+		r.increment(&r.Served)
+		r.increment(&r.Teams[team].Served)
 	case linecaller.Promised(code):
-		r.add(&r.Refused)
-		r.add(&r.Teams[team].Refused)
+		r.increment(&r.Refused)
+		r.increment(&r.Teams[team].Refused)
 	case code == unauthorized:
-		r.add(&r.Teams[team].Unauthorized)
+		r.increment(&r.Teams[team].Unauthorized)
 	case code == "INDOUBT":
-		r.add(&r.InDoubt)
+		r.increment(&r.InDoubt)
 	default:
-		r.add(&r.Failed)
+		r.increment(&r.Failed)
 	}
 }
--- a/node/platformdemo/demo.go
+++ b/node/platformdemo/demo.go
@@ -1,5 +1,5 @@
-// Package platformdemo runs hosts against the stand-in of the users' platform,
-// in one process and with the real code, under a load that checks its answers.
+// Package platformdemo runs hosts and the stand-in of the users' platform in one
+// process, under a load that checks the answers.
 package platformdemo
 
 import (
@@ -17,7 +17,7 @@
 	"github.com/dotterelswitch/dotterelswitch/standin/loopback"
 )
 
-// Fault is what goes wrong half way through.
+// Fault is a fault that is injected half way through a run.
 type Fault string
 
 // The faults.
@@ -32,12 +32,11 @@
 	LimitLowered Fault = "limit-lowered"
 )
 
-// Faults returns all faults.
 func Faults() []Fault {
 	return []Fault{NoFault, PrimaryCrash, DrainPrimary, StoreOutage, StoreRestore, HostStop, KeyRevoked, LimitLowered}
 }
 
-// Options describe a run.
+// Options configure a run.
 type Options struct {
 	Hosts, Callers int
 	Duration       time.Duration
@@ -45,26 +44,27 @@
 	Log            zerolog.Logger
 }
 
-// The deployment of a run: the archive's members, near to each other.
+// The deployment of a run: an archive group with low replication lag.
 const (
-	service        = "archive"
-	members        = 3
-	slots          = 2
-	maxConnections = 16
-	work           = 2 * time.Millisecond
-	lag            = 5 * time.Millisecond
-	promoteTime    = 100 * time.Millisecond
-	readyTimeout   = 10 * time.Second
-	grace          = 3 * time.Second
-	statementTime  = 2 * time.Second
-	target         = 500 * time.Millisecond
-	staleness      = 1500 * time.Millisecond
-	callTimeout    = time.Second
-	maxSessions    = 10_000
-	workers        = 1024
+	service          = "archive"
+	membersPerGroup  = 3
+	slots            = 2
+	maxConnections   = 16
+	serviceTime      = 2 * time.Millisecond
+	replicationLag   = 5 * time.Millisecond
+	promotionTime    = 100 * time.Millisecond
+	readyTimeout     = 10 * time.Second
+	stopGracePeriod  = 3 * time.Second
+	statementTimeout = 2 * time.Second
+	targetLatency    = 500 * time.Millisecond
+	maxStaleness     = 1500 * time.Millisecond
+	callTimeout      = time.Second
+	maxSessions      = 10_000
+	workersPerHost   = 1024
 )
 
-// Run starts a deployment, loads it, and reports what the callers saw.
+// Run starts a deployment, puts it under load, and reports what the callers
+// observed.
 func Run(ctx context.Context, o Options) (*Report, error) {
 	p, err := lineplatform.Start()
 	if err != nil {
@@ -72,14 +72,14 @@
 	}
 	defer p.Close()
 	group, err := p.AddGroup(service, lineplatform.Options{
-		Members: members, Slots: slots, MaxConnections: maxConnections, Work: work, Lag: lag,
-		PromoteTime: promoteTime, Zones: []string{"zone-a", "zone-b", "zone-c"},
+		Members: membersPerGroup, Slots: slots, MaxConnections: maxConnections, Work: serviceTime, Lag: replicationLag,
+		PromoteTime: promotionTime, Zones: []string{"zone-a", "zone-b", "zone-c"},
 	})
 	if err != nil {
 		return nil, err
 	}
 	p.SetTeams(teams()...)
-	p.Configure(routes(), statementTime)
+	p.Configure(routes(), statementTimeout)
 	hosts, addresses, err := startHosts(p, o)
 	defer func() {
 		for _, h := range hosts {
@@ -99,8 +99,8 @@
 	for i := range o.Callers {
 		wg.Go(func() { runCaller(ctx, i, addresses[i%len(addresses)], group, report) })
 	}
-	older := p.Store.Copy()
-	timer := time.AfterFunc(o.Duration/2, func() { inject(o.Fault, p, group, hosts, older) })
+	backup := p.Store.Copy()
+	timer := time.AfterFunc(o.Duration/2, func() { inject(o.Fault, p, group, hosts, backup) })
 	defer timer.Stop()
 	wg.Wait()
 	report.checkTeams(group.Runs())
@@ -108,14 +108,14 @@
 }
 
 func routes() []lineplatform.Route {
-	base := lineplatform.Route{Service: service, Timeout: statementTime, Target: target, Priority: 1, MaxStaleness: staleness}
-	strict, own := base, base
-	strict.Database, strict.Consistency = "submissions", "primary"
-	own.Database, own.Consistency = "alerts", "read_your_writes"
-	return []lineplatform.Route{strict, own}
+	base := lineplatform.Route{Service: service, Timeout: statementTimeout, Target: targetLatency, Priority: 1, MaxStaleness: maxStaleness}
+	primary, readYourWrites := base, base
+	primary.Database, primary.Consistency = "submissions", "primary"
+	readYourWrites.Database, readYourWrites.Consistency = "alerts", "read_your_writes"
+	return []lineplatform.Route{primary, readYourWrites}
 }
 
-// startHosts starts the hosts and waits until they take callers.
+// startHosts starts the hosts and waits until they accept callers.
 func startHosts(p *lineplatform.Platform, o Options) ([]*entry.Host, []string, error) {
 	var hosts []*entry.Host
 	var addresses []string
@@ -124,8 +124,8 @@
 		if err != nil {
 			return hosts, nil, err
 		}
-		a := onplatform.Adapter(onplatform.Options{Host: s.Host, Store: p.Address(), Promotion: p.Address(), Timeout: callTimeout})
-		h, err := entry.Start(s, a, entry.Dial, o.Log)
+		adapter := onplatform.Adapter(onplatform.Options{Host: s.Host, Store: p.Address(), Promotion: p.Address(), Timeout: callTimeout})
+		h, err := entry.Start(s, adapter, entry.Dial, o.Log)
 		if err != nil {
 			return hosts, nil, err
 		}
@@ -140,8 +140,8 @@
 }
 
 func awaitReady(h *entry.Host) error {
-	const poll = 10 * time.Millisecond
-	for until := time.Now().Add(readyTimeout); time.Now().Before(until); time.Sleep(poll) {
+	const pollInterval = 10 * time.Millisecond
+	for deadline := time.Now().Add(readyTimeout); time.Now().Before(deadline); time.Sleep(pollInterval) {
 		if h.Ready() {
 			return nil
 		}
@@ -153,40 +153,39 @@
 	zone := []string{"zone-a", "zone-b", "zone-c"}[i%3]
 	s := entry.Settings{
 		Host: fmt.Sprintf("host-%d", i+1), Places: replicaset.Topology{Zone: zone},
-		MaxSessions: maxSessions, Workers: workers, GracePeriod: grace, DrainBound: 2 * grace,
+		MaxSessions: maxSessions, Workers: workersPerHost, GracePeriod: stopGracePeriod, DrainBound: 2 * stopGracePeriod,
 		QuotaTolerance: tolerance,
 	}
-	for _, address := range []*string{&s.CallerAddress, &s.ReadinessAddress, &s.PeerAddress} {
-		free, err := loopback.FreeAddress()
+	for _, field := range []*string{&s.CallerAddress, &s.ReadinessAddress, &s.PeerAddress} {
+		address, err := loopback.FreeAddress()
 		if err != nil {
 			return s, err
 		}
-		*address = free
+		*field = address
 	}
 	return s, nil
 }
 
-// The store is away for storeAway before it returns from the copy that was made at
-// the start, and the operator and the members write again after rewriteAfter.
+// restoreOutage is how long the store is unavailable while it is restored from the
+// backup. After rewriteDelay the operator and the members write their data again.
 const (
-	storeAway    = 300 * time.Millisecond
-	rewriteAfter = time.Second
+	restoreOutage = 300 * time.Millisecond
+	rewriteDelay  = time.Second
 )
 
-// inject makes the fault happen.
-func inject(f Fault, p *lineplatform.Platform, group *lineplatform.Group, hosts []*entry.Host, older lineplatform.Copy) {
+func inject(f Fault, p *lineplatform.Platform, group *lineplatform.Group, hosts []*entry.Host, backup lineplatform.Copy) {
 	primary := group.Primary()
 	switch {
 	case f == KeyRevoked:
-		p.SetTeams(withoutKey()...)
-		p.Configure(routes(), statementTime)
+		p.SetTeams(teamsWithRevokedKey()...)
+		p.Configure(routes(), statementTimeout)
 	case f == LimitLowered:
-		p.SetTeams(lowered()...)
-		p.Configure(routes(), statementTime)
+		p.SetTeams(teamsWithLoweredLimit()...)
+		p.Configure(routes(), statementTimeout)
 	case f == StoreOutage:
 		p.Store.Fail(lineplatform.Refusing)
 	case f == StoreRestore:
-		p.RestoreStore(older, storeAway, rewriteAfter)
+		p.RestoreStore(backup, restoreOutage, rewriteDelay)
 	case f == HostStop:
 		hosts[0].Stop()
 	case primary == nil:
--- a/node/platformdemo/demo_test.go
+++ b/node/platformdemo/demo_test.go
@@ -11,23 +11,22 @@
 	"github.com/dotterelswitch/dotterelswitch/node/platformdemo"
 )
 
-// TestPromisesHoldUnderEachFault runs a short load with each fault.
-func TestPromisesHoldUnderEachFault(t *testing.T) {
+func TestGuaranteesHoldUnderEachFault(t *testing.T) {
 	for _, fault := range platformdemo.Faults() {
 		t.Run(string(fault), func(t *testing.T) {
 			r, err := platformdemo.Run(context.Background(), platformdemo.Options{
 				Hosts: 3, Callers: 6, Duration: 6 * time.Second, Fault: fault, Log: zerolog.Nop(),
 			})
 			require.NoError(t, err)
-			require.False(t, r.Broken(), "%+v", r)
+			require.False(t, r.HasViolations(), "%+v", r)
 			require.Positive(t, r.Served)
 		})
 	}
 }
 
-// TestTeamsAreKeptApart: the team that asks for more than its limit is held to it and
-// the others are served; a key that was taken away serves nobody.
-func TestTeamsAreKeptApart(t *testing.T) {
+// A team that exceeds its limit must not affect the others, and a revoked key must
+// be refused.
+func TestTeamLimitAndRevokedKeyAreEnforced(t *testing.T) {
 	r, err := platformdemo.Run(context.Background(), platformdemo.Options{
 		Hosts: 3, Callers: 6, Duration: 6 * time.Second, Fault: platformdemo.KeyRevoked, Log: zerolog.Nop(),
 	})
--- a/node/platformdemo/teams.go
+++ b/node/platformdemo/teams.go
@@ -9,11 +9,11 @@
 	"github.com/dotterelswitch/dotterelswitch/standin/lineplatform"
 )
 
-// tolerance is by how much a team may be over its limit.
+// tolerance is how far a team may exceed its limit.
 var tolerance = quota.Tolerance{Window: 2 * time.Second, Share: 0.1, Operations: 10}
 
-// The teams of a run. Callers are dealt to them in turn; each runs its operations
-// without much of a pause, so that the colleges are over their limit all the time.
+// teams returns the teams of a run, to which callers are assigned round-robin. The
+// callers' rate keeps the colleges above their limit.
 func teams() []lineplatform.Team {
 	return []lineplatform.Team{
 		{Name: "schools", Keys: []string{"key-schools"}},
@@ -22,38 +22,40 @@
 	}
 }
 
-// withoutKey returns the teams after the clubs' key was taken away.
-func withoutKey() []lineplatform.Team {
-	left := teams()
-	left[1].Keys = nil
-	return left
+// teamsWithRevokedKey returns the teams without the clubs' key.
+func teamsWithRevokedKey() []lineplatform.Team {
+	changed := teams()
+	changed[1].Keys = nil
+	return changed
 }
 
-// lowered returns the teams after the clubs' limit was lowered far below what they
-// ask for.
-func lowered() []lineplatform.Team {
+// teamsWithLoweredLimit returns the teams with the clubs' limit far below their
+// request rate.
+func teamsWithLoweredLimit() []lineplatform.Team {
 	changed := teams()
 	changed[1].Rate, changed[1].Burst = 10, 10
 	return changed
 }
 
-// TeamReport is what the callers of one team saw.
+// TeamReport is what the callers of one team observed.
 type TeamReport struct {
 	Served  int `json:"served"`
 	Refused int `json:"refused"`
-	// Unauthorized counts statements and sessions refused for the key.
+	// Unauthorized counts statements and sessions refused because of the key.
 	Unauthorized int `json:"unauthorized"`
-	// Busiest is the most operations that its members ran in one window of the
-	// tolerance.
-	Busiest int `json:"busiest_window"`
+	// BusiestWindow is the largest number of the team's statements that members ran
+	// within one window of the tolerance.
+	BusiestWindow int `json:"busiest_window"`
 }
 
-// callerName names a session so that what its members ran can be told by team.
+// callerName returns a session name that begins with the team, so that checkTeams
+// can attribute the statements that members ran.
 func callerName(team lineplatform.Team, n, session int) string {
 	return fmt.Sprintf("%s/c%d-%d", team.Name, n, session)
 }
 
-// checkTeams holds what the members ran against the callers' teams.
+// checkTeams compares the teams of the statements that members ran with the
+// callers' teams.
 func (r *Report) checkTeams(runs []lineplatform.Run) {
 	times := map[string][]time.Time{}
 	for _, run := range runs {
@@ -64,18 +66,19 @@
 		times[team] = append(times[team], run.At)
 	}
 	for team, at := range times {
-		r.Teams[team].Busiest = busiest(at, tolerance.Window)
+		r.Teams[team].BusiestWindow = maxInWindow(at, tolerance.Window)
 	}
 }
 
-// busiest returns the most times that lie in one window. The times rise.
-func busiest(times []time.Time, window time.Duration) int {
-	most, from := 0, 0
+// maxInWindow returns the largest number of times within one window. The times
+// must be sorted.
+func maxInWindow(times []time.Time, window time.Duration) int {
+	most, first := 0, 0
 	for i, at := range times {
-		for at.Sub(times[from]) >= window {
-			from++
+		for at.Sub(times[first]) >= window {
+			first++
 		}
-		most = max(most, i-from+1)
+		most = max(most, i-first+1)
 	}
 	return most
 }
