--- a/node/bench/fleet/fleet.go
+++ b/node/bench/fleet/fleet.go
@@ -19,26 +19,24 @@
 	"github.com/dotterelswitch/dotterelswitch/standin/workload"
 )
 
-// fleet is a running stand-in process and its hosts.
+// fleet is a stand-in process and the host processes that use it.
 type fleet struct {
-	standin *exec.Cmd
-	hosts   []*hostProcess
-	conns   []*pgconn.PgConn
-	// upstreams are the addresses of the members.
-	upstreams []string
+	standin         *exec.Cmd
+	hosts           []*hostProcess
+	idleSessions    []*pgconn.PgConn
+	memberAddresses []string
 }
 
-// hostProcess is one host.
 type hostProcess struct {
 	cmd             *exec.Cmd
 	listen, metrics string
 }
 
-// reading is what one host has used so far.
-type reading struct {
-	cpu                              time.Duration
-	rss                              int64
-	peers, platform, control, gossip float64
+// resourceUsage is what one host has used since its start.
+type resourceUsage struct {
+	cpuTime                                             time.Duration
+	rssBytes                                            int64
+	peerBytes, platformBytes, controlBytes, gossipBytes float64
 }
 
 func startFleet(ctx context.Context, o options) (*fleet, error) {
@@ -47,7 +45,7 @@
 	if err != nil {
 		return f, err
 	}
-	f.standin = exec.CommandContext(ctx, filepath.Join(o.bin, "dotterelctl"), "standin",
+	f.standin = exec.CommandContext(ctx, filepath.Join(o.binDir, "dotterelctl"), "standin",
 		"--workload", o.workload, "--services", strconv.Itoa(o.services))
 	f.standin.Stderr = os.Stdout
 	out, err := f.standin.StdoutPipe()
@@ -57,7 +55,7 @@
 	if err := f.standin.Start(); err != nil {
 		return f, err
 	}
-	platform, err := f.readPlatform(out)
+	platform, err := f.awaitPlatform(out)
 	if err != nil {
 		return f, err
 	}
@@ -71,10 +69,11 @@
 	return f, nil
 }
 
-// spend lets the span of the measurement pass, under load if asked for.
-func (f *fleet) spend(ctx context.Context, o options) (*workload.Report, error) {
-	if o.load == 0 {
-		time.Sleep(o.span)
+// runMeasurement waits for the duration of the measurement, under load if any is
+// configured.
+func (f *fleet) runMeasurement(ctx context.Context, o options) (*workload.Report, error) {
+	if o.loadSessions == 0 {
+		time.Sleep(o.duration)
 		return nil, nil
 	}
 	spec, err := workload.Get(o.workload)
@@ -87,12 +86,13 @@
 		entries = append(entries, workload.Entry{Address: h.listen})
 	}
 	return workload.Start(ctx, workload.Options{
-		Spec: spec, Entries: entries, Callers: o.load, Duration: o.span, Seed: 1, Upstreams: f.upstreams,
+		Spec: spec, Entries: entries, Callers: o.loadSessions, Duration: o.duration, Seed: 1, Upstreams: f.memberAddresses,
 	}).Wait(ctx)
 }
 
-// readPlatform waits until the stand-ins are ready.
-func (f *fleet) readPlatform(out io.Reader) (string, error) {
+// awaitPlatform waits until the stand-ins are ready and returns the platform's
+// address.
+func (f *fleet) awaitPlatform(out io.Reader) (string, error) {
 	platform := ""
 	lines := bufio.NewScanner(out)
 	for lines.Scan() {
@@ -100,33 +100,33 @@
 			platform = value
 		}
 		if value, found := strings.CutPrefix(lines.Text(), "--upstream "); found {
-			f.upstreams = append(f.upstreams, value)
+			f.memberAddresses = append(f.memberAddresses, value)
 		}
 		if lines.Text() == "ready" {
 			return platform, nil
 		}
 	}
-	return "", fmt.Errorf("the stand-ins ended early")
+	return "", fmt.Errorf("stand-in process exited before it was ready")
 }
 
-// firstPort begins the hosts' ports, below those that the system gives out.
-const firstPort = 20_000
+// firstHostPort is the first port of the hosts, below the ephemeral range.
+const firstHostPort = 20_000
 
 func startHost(ctx context.Context, o options, index int, zone, platform string) (*hostProcess, error) {
 	var addresses [3]string
 	for i := range addresses {
-		addresses[i] = fmt.Sprintf("127.0.0.1:%d", firstPort+len(addresses)*index+i)
+		addresses[i] = fmt.Sprintf("127.0.0.1:%d", firstHostPort+len(addresses)*index+i)
 	}
 	h := &hostProcess{listen: addresses[0], metrics: addresses[2]}
-	h.cmd = exec.CommandContext(ctx, filepath.Join(o.bin, "dotterelswitch"),
+	h.cmd = exec.CommandContext(ctx, filepath.Join(o.binDir, "dotterelswitch"),
 		"--id", fmt.Sprintf("host-%d", index), "--zone", zone, "--listen", addresses[0], "--peer", addresses[1], "--metrics", addresses[2],
 		"--platform", platform, "--peer-key", "bench", "--log-level", "error")
 	h.cmd.Stderr = os.Stderr
 	return h, h.cmd.Start()
 }
 
-// addCallers opens idle sessions on the first host.
-func (f *fleet) addCallers(ctx context.Context, n int) error {
+// openIdleSessions opens idle sessions on the first host.
+func (f *fleet) openIdleSessions(ctx context.Context, n int) error {
 	if n == 0 {
 		return nil
 	}
@@ -138,13 +138,13 @@
 		if err != nil {
 			return err
 		}
-		f.conns = append(f.conns, c)
+		f.idleSessions = append(f.idleSessions, c)
 	}
 	return nil
 }
 
-func (f *fleet) sample() ([]reading, error) {
-	out := make([]reading, 0, len(f.hosts))
+func (f *fleet) sample() ([]resourceUsage, error) {
+	out := make([]resourceUsage, 0, len(f.hosts))
 	for _, h := range f.hosts {
 		r, err := h.sample()
 		if err != nil {
@@ -155,30 +155,30 @@
 	return out, nil
 }
 
-// clockTick is the unit of processor time in /proc, USER_HZ.
+// clockTick is the unit of processor time in /proc (1/USER_HZ).
 const clockTick = 10 * time.Millisecond
 
-// Fields of /proc/PID/stat after the command's name, from zero.
+// Zero-based indexes of fields after the command's name in /proc/PID/stat.
 const (
-	statUser   = 11
-	statSystem = 12
-	statRSS    = 21
+	statFieldUser   = 11
+	statFieldSystem = 12
+	statFieldRSS    = 21
 )
 
-func (h *hostProcess) sample() (reading, error) {
+func (h *hostProcess) sample() (resourceUsage, error) {
 	data, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", h.cmd.Process.Pid))
 	if err != nil {
-		return reading{}, err
+		return resourceUsage{}, err
 	}
 	fields := strings.Fields(string(data[strings.LastIndexByte(string(data), ')')+1:]))
-	user, _ := strconv.ParseInt(fields[statUser], 10, 64)
-	system, _ := strconv.ParseInt(fields[statSystem], 10, 64)
-	pages, _ := strconv.ParseInt(fields[statRSS], 10, 64)
-	r := reading{cpu: time.Duration(user+system) * clockTick, rss: pages * int64(os.Getpagesize())}
+	user, _ := strconv.ParseInt(fields[statFieldUser], 10, 64)
+	system, _ := strconv.ParseInt(fields[statFieldSystem], 10, 64)
+	pages, _ := strconv.ParseInt(fields[statFieldRSS], 10, 64)
+	r := resourceUsage{cpuTime: time.Duration(user+system) * clockTick, rssBytes: pages * int64(os.Getpagesize())}
 	return r, h.scrape(&r)
 }
 
-func (h *hostProcess) scrape(r *reading) error {
+func (h *hostProcess) scrape(r *resourceUsage) error {
 	resp, err := http.Get("http://" + h.metrics + "/metrics")
 	if err != nil {
 		return err
@@ -190,19 +190,19 @@
 		v, _ := strconv.ParseFloat(value, 64)
 		switch name {
 		case "dotterelswitch_peer_bytes":
-			r.peers = v
+			r.peerBytes = v
 		case "dotterelswitch_gossip_bytes":
-			r.gossip = v
+			r.gossipBytes = v
 		case "dotterelswitch_platform_bytes":
-			r.platform = v
+			r.platformBytes = v
 		case "dotterelswitch_control_bytes":
-			r.control = v
+			r.controlBytes = v
 		}
 	}
 	return lines.Err()
 }
 
-// stop ends every process that was started.
+// stop terminates all processes that were started.
 func (f *fleet) stop() {
 	for _, h := range f.hosts {
 		_ = h.cmd.Process.Kill()
