--- a/core/balance/balance.go
+++ b/core/balance/balance.go
@@ -22,17 +22,18 @@
 	// InUse and Waiting count the statements of this host that run on the member
 	// and that wait for a connection to it.
 	InUse, Waiting int
-	// HasIdleConn is set if a connection to the member is available.
+	// HasIdleConn is set if no connection has to be opened: one is idle, or a gate
+	// runs the statement.
 	HasIdleConn bool
-	// AffinityElsewhere is set if the reads of the caller's team are preferably sent
-	// to another replica, which is likely to have an open connection of the team.
-	AffinityElsewhere bool
+	// NotPreferred is set if the caller's team prefers another replica, which is
+	// likely to have an open connection of the team.
+	NotPreferred bool
 	// Slots is the number of statements that the member runs concurrently.
 	Slots int
-	// Suspect is set if the most recent exchange with the member failed.
+	// Suspect is set if the failure detector suspects the member.
 	Suspect bool
-	// Unregistered is set if the member's entry on the platform is missing.
-	Unregistered bool
+	// EntryMissing is set if the member's entry on the platform is missing.
+	EntryMissing bool
 	// Lagging is set if the member recently had not applied a position that a read
 	// required.
 	Lagging bool
@@ -45,19 +46,21 @@
 	// team is likely to be open, unless another replica is faster by more than the
 	// cost of a connection.
 	affinityPenalty = connectCost
-	// primaryPenalty reserves the primary's capacity for writes. It is several
-	// times the round trip between regions, so that callers in the primary's zone
-	// use remote replicas too.
+	// primaryPenalty keeps reads off the primary, whose capacity is needed for
+	// writes. It exceeds the round trip between regions, so that callers in the
+	// primary's zone use remote replicas too.
 	primaryPenalty = 120 * time.Millisecond
-	// unhealthyPenalty ranks unhealthy members behind all others. It exceeds the
-	// longest wait that a queue accepts.
+	// unhealthyPenalty ranks a member behind all healthy ones. It exceeds the longest
+	// wait that a queue accepts.
 	unhealthyPenalty = 5 * time.Second
 )
 
-// Usable reports whether the member is neither suspect nor lagging.
-func (c Candidate) Usable() bool { return !c.Lagging && !c.Suspect }
+// Healthy reports whether the member is neither suspect nor lagging. A missing entry
+// does not matter: the member may serve reads while the platform is unavailable.
+func (c Candidate) Healthy() bool { return !c.Lagging && !c.Suspect }
 
-// expectedCost returns the expected response time plus the penalties.
+// expectedCost returns the expected response time plus the penalties. Each of this
+// host's statements on the member delays a read by one response time per slot.
 func (c Candidate) expectedCost() time.Duration {
 	slots := max(c.Slots, 1)
 	cost := c.RoundTrip + c.ResponseTime
@@ -65,16 +68,17 @@
 	if !c.HasIdleConn {
 		cost += connectCost
 	}
-	if c.AffinityElsewhere {
+	if c.NotPreferred {
 		cost += affinityPenalty
 	}
 	if c.Primary {
 		cost += primaryPenalty
 	}
-	if c.Lagging || c.Unregistered {
+	if c.Lagging || c.EntryMissing {
 		cost += unhealthyPenalty
 	}
 	if c.Suspect {
+		// A suspect member ranks behind one that only lags, which still answers.
 		cost += 2 * unhealthyPenalty
 	}
 	return cost
--- a/core/balance/balance_test.go
+++ b/core/balance/balance_test.go
@@ -51,10 +51,10 @@
 
 func TestUnhealthyMembersRankLast(t *testing.T) {
 	order := balance.Rank([]balance.Candidate{
-		{ID: "suspect", Suspect: true, Slots: 2}, {ID: "unregistered", Unregistered: true, Slots: 2},
+		{ID: "suspect", Suspect: true, Slots: 2}, {ID: "entry missing", EntryMissing: true, Slots: 2},
 		{ID: "slow", ResponseTime: 500 * ms, InUse: 4, Slots: 2},
 	})
 	require.Equal(t, "slow", order[0].ID)
-	require.Equal(t, "unregistered", order[1].ID)
+	require.Equal(t, "entry missing", order[1].ID)
 	require.Len(t, order, 3, "unhealthy members stay in the list as a last resort")
 }
--- a/core/catchup/catchup.go
+++ b/core/catchup/catchup.go
@@ -1,11 +1,12 @@
-// Package catchup decides whether a read waits for a replica that lags.
+// Package catchup decides whether a read waits for a replica that lags. The floor
+// of a read is the log position that a replica must have applied to serve it.
 //
 // When all replicas lag, the primary is the only member that can serve reads of
-// recent commits, and it cannot take all of them. Holding such a read until a
+// recent commits, and it cannot take all of them. Delaying such a read until a
 // replica has applied the commit costs latency, but avoids a refusal and load
 // on the primary.
 //
-// A read does not wait for a floor that follows from its staleness bound: that
+// Callers must not wait for a floor that follows from a staleness bound: that
 // floor rises with time, and a replica that lags by more than the bound never
 // reaches it.
 package catchup
@@ -14,10 +15,10 @@
 
 const (
 	// UnknownLag is the lag assumed for a replica that is below the floor by an
-	// unknown amount.
+	// unknown amount. It is tried again when its observation expires.
 	UnknownLag = observationTTL
-	// minRetryDelay is the least time before a lagging replica is tried again.
-	// Replication lag is 20 to 50 ms in normal operation.
+	// minRetryDelay is the least time before a lagging replica is tried again,
+	// about the normal replication lag.
 	minRetryDelay = 30 * time.Millisecond
 	// observationTTL is how long an observation that a replica is below the
 	// floor keeps reads away from it. After that a read is sent to check,
@@ -31,30 +32,31 @@
 	ID string
 	// ObservedAt is when the replica's log position was last observed.
 	ObservedAt time.Duration
-	// HasFloor reports whether the log contained the floor of the read then.
-	HasFloor bool
-	// Lag is, if HasFloor is false, how much later the primary's log reached
+	// CaughtUp reports whether the log contained the floor of the read at
+	// ObservedAt.
+	CaughtUp bool
+	// Lag is, if CaughtUp is false, how much later the primary's log reached
 	// the floor than it reached the replica's position.
 	Lag time.Duration
 }
 
 // ReadyAt returns when the replica is expected to reach the floor.
 func (r Replica) ReadyAt() time.Duration {
-	if r.HasFloor {
+	if r.CaughtUp {
 		return r.ObservedAt
 	}
 	return r.ObservedAt + max(r.Lag, minRetryDelay)
 }
 
-// ShouldSkip reports whether reads should not be sent to the replica at
-// present.
-func (r Replica) ShouldSkip(now time.Duration) bool {
+// KnownBehind reports whether the replica was recently observed below the floor
+// and is not expected to have reached it yet.
+func (r Replica) KnownBehind(now time.Duration) bool {
 	return now < min(r.ReadyAt(), r.ObservedAt+observationTTL)
 }
 
 // SoonestReady returns the replica that is expected to reach the floor first,
 // and when to send the read to it. It returns false if no replica is expected
-// to by the deadline.
+// to reach it by the deadline. Of equal replicas the first is returned.
 func SoonestReady(replicas []Replica, now, deadline time.Duration) (Replica, time.Duration, bool) {
 	var best Replica
 	bestAt, found := deadline, false
--- a/core/catchup/catchup_test.go
+++ b/core/catchup/catchup_test.go
@@ -16,24 +16,24 @@
 const ms = time.Millisecond
 
 func TestReplicaAtFloorIsReady(t *testing.T) {
-	r := catchup.Replica{ObservedAt: 5 * ms, HasFloor: true, Lag: time.Second}
+	r := catchup.Replica{ObservedAt: 5 * ms, CaughtUp: true, Lag: time.Second}
 	require.Equal(t, 5*ms, r.ReadyAt())
-	require.False(t, r.ShouldSkip(5*ms))
+	require.False(t, r.KnownBehind(5*ms))
 }
 
 // TestLaggingReplicaIsSkippedUntilObservationExpires: reads are sent to the
 // replica again before its expected time, since it may have caught up sooner.
 func TestLaggingReplicaIsSkippedUntilObservationExpires(t *testing.T) {
 	r := catchup.Replica{ObservedAt: 0, Lag: 2 * time.Second}
-	require.True(t, r.ShouldSkip(100*ms))
-	require.False(t, r.ShouldSkip(150*ms))
+	require.True(t, r.KnownBehind(100*ms))
+	require.False(t, r.KnownBehind(150*ms))
 	require.Equal(t, 2*time.Second, r.ReadyAt())
 }
 
 func TestNearlyReadyReplicaIsSkippedForMinimumDelay(t *testing.T) {
 	r := catchup.Replica{ObservedAt: 0, Lag: ms}
-	require.True(t, r.ShouldSkip(20*ms))
-	require.False(t, r.ShouldSkip(30*ms))
+	require.True(t, r.KnownBehind(20*ms))
+	require.False(t, r.KnownBehind(30*ms))
 }
 
 func TestSoonestReadyReplicaBeforeDeadline(t *testing.T) {
@@ -54,13 +54,13 @@
 func TestWaitEndsByDeadline(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.Duration(rapid.IntRange(0, 5000).Draw(t, "now")) * ms
-		deadline := time.Duration(rapid.IntRange(0, 8000).Draw(t, "latest")) * ms
+		deadline := time.Duration(rapid.IntRange(0, 8000).Draw(t, "deadline")) * ms
 		var replicas []catchup.Replica
 		for range rapid.IntRange(0, 3).Draw(t, "replicas") {
 			replicas = append(replicas, catchup.Replica{
-				ObservedAt: time.Duration(rapid.IntRange(0, 5000).Draw(t, "seen")) * ms,
-				Lag:        time.Duration(rapid.IntRange(-1000, 5000).Draw(t, "distance")) * ms,
-				HasFloor:   rapid.Bool().Draw(t, "holds"),
+				ObservedAt: time.Duration(rapid.IntRange(0, 5000).Draw(t, "observed at")) * ms,
+				Lag:        time.Duration(rapid.IntRange(-1000, 5000).Draw(t, "lag")) * ms,
+				CaughtUp:   rapid.Bool().Draw(t, "caught up"),
 			})
 		}
 		r, at, found := catchup.SoonestReady(replicas, now, deadline)
--- a/core/catchup/lag_test.go
+++ b/core/catchup/lag_test.go
@@ -16,10 +16,10 @@
 	lagStart, lagEnd = time.Second, 7 * time.Second
 	injectedLag      = 400 * ms
 	normalLag        = 50 * ms
-	// The primary alone serves one read per primaryReadInterval, fewer than
-	// arrive.
-	commitInterval       = 5 * ms
-	readInterval         = 4 * ms
+	commitInterval   = 5 * ms
+	readInterval     = 4 * ms
+	// primaryReadInterval is the time that the primary needs for a read. It is
+	// longer than readInterval, so the primary alone is overloaded.
 	primaryReadInterval  = 5500 * time.Microsecond
 	readDelayAfterCommit = 20 * ms
 	maxReadWait          = 600 * ms
@@ -68,12 +68,12 @@
 
 func (g *laggingGroup) replica(floor logpos.Position) catchup.Replica {
 	lag, _ := g.floors.Lag(g.observed, floor)
-	return catchup.Replica{ObservedAt: g.observedAt, HasFloor: !g.observed.Less(floor), Lag: lag}
+	return catchup.Replica{ObservedAt: g.observedAt, CaughtUp: !g.observed.Less(floor), Lag: lag}
 }
 
-// wait queues a read until the replica is expected to reach its floor, or
-// refuses it.
-func (g *laggingGroup) wait(r waitingRead, now time.Duration) {
+// waitOrRefuse queues a read until the replica is expected to reach its floor,
+// or refuses it.
+func (g *laggingGroup) waitOrRefuse(r waitingRead, now time.Duration) {
 	_, at, found := catchup.SoonestReady([]catchup.Replica{g.replica(r.floor)}, now, r.deadline)
 	if !g.waitForReplica || !found {
 		g.refused++
@@ -94,7 +94,7 @@
 		case g.queryReplica(r.floor, now):
 			g.served++
 		default:
-			g.wait(r, now)
+			g.waitOrRefuse(r, now)
 		}
 	}
 }
@@ -103,7 +103,7 @@
 // primary.
 func (g *laggingGroup) read(now time.Duration) {
 	floor := primaryLog(now - readDelayAfterCommit)
-	if !g.replica(floor).ShouldSkip(now) && g.queryReplica(floor, now) {
+	if !g.replica(floor).KnownBehind(now) && g.queryReplica(floor, now) {
 		g.served++
 		return
 	}
@@ -112,7 +112,7 @@
 		g.served++
 		return
 	}
-	g.wait(waitingRead{floor: floor, deadline: now + maxReadWait}, now)
+	g.waitOrRefuse(waitingRead{floor: floor, deadline: now + maxReadWait}, now)
 }
 
 func simulateLag(waitForReplica bool) *laggingGroup {
@@ -127,9 +127,9 @@
 	return g
 }
 
-// TestWaitingForReplicaAvoidsRefusals simulates replicas that apply 400 ms late
-// while reads of recent commits exceed the capacity of the primary: without
-// waiting, most of the excess is refused.
+// TestWaitingForReplicaAvoidsRefusals simulates a replica with a lag of 400 ms
+// while reads of recent commits exceed the capacity of the primary: waiting must
+// avoid at least nine of ten refusals.
 func TestWaitingForReplicaAvoidsRefusals(t *testing.T) {
 	notWaiting, waiting := simulateLag(false), simulateLag(true)
 	t.Logf("refused %d without waiting, %d with it", notWaiting.refused, waiting.refused)
--- a/core/classify/classify_test.go
+++ b/core/classify/classify_test.go
@@ -56,7 +56,7 @@
 	}
 	f.Fuzz(func(t *testing.T, sql string) {
 		st := classify.Classify(sql)
-		if st.Kind == classify.Empty && st.Count > 0 && len(st.Words) > 0 {
+		if st.Kind == classify.Empty && st.Count > 0 && len(st.Tokens) > 0 {
 			t.Fatalf("%q: classified as empty with %d statements", sql, st.Count)
 		}
 	})
--- a/core/classify/lexer.go
+++ b/core/classify/lexer.go
@@ -2,11 +2,11 @@
 
 import "strings"
 
-// lexer extracts the words of a query text by PostgreSQL's lexical rules.
+// lexer extracts the tokens of a query text by PostgreSQL's lexical rules.
 type lexer struct {
-	src   string
-	pos   int
-	words []string
+	src    string
+	pos    int
+	tokens []string
 	// count is the number of non-empty statements so far; nonEmpty reports whether the
 	// current statement is one of them.
 	count    int
@@ -20,7 +20,7 @@
 	for l.pos < len(l.src) {
 		l.scanToken()
 	}
-	return l.words, l.count
+	return l.tokens, l.count
 }
 
 func (l *lexer) scanToken() {
@@ -153,7 +153,7 @@
 	for l.pos < len(l.src) && isWordPart(l.src[l.pos]) {
 		l.pos++
 	}
-	l.words = append(l.words, strings.ToUpper(l.src[start:l.pos]))
+	l.tokens = append(l.tokens, strings.ToUpper(l.src[start:l.pos]))
 }
 
 func isWordStart(c byte) bool {
--- a/core/classify/statement.go
+++ b/core/classify/statement.go
@@ -5,8 +5,8 @@
 // Statement is the classification of one query text.
 type Statement struct {
 	Kind Kind
-	// Words are the keywords and unquoted identifiers, in upper case.
-	Words []string
+	// Tokens are the keywords and unquoted identifiers, in upper case.
+	Tokens []string
 	// Count is the number of statements in the text.
 	Count int
 	Hints Hints
@@ -18,7 +18,7 @@
 	"SET_CONFIG", "LO_CREATE", "LO_UNLINK", "PG_NOTIFY", "DBLINK_EXEC",
 }
 
-// pinningKeywords are the first words of statements that leave state on the
+// pinningKeywords are the first tokens of statements that leave state on the
 // connection.
 var pinningKeywords = []string{"LISTEN", "UNLISTEN", "DECLARE", "PREPARE", "EXECUTE", "DEALLOCATE", "DISCARD", "LOAD", "COPY"}
 
@@ -30,7 +30,7 @@
 func Classify(sql string) Statement {
 	lex := newLexer(sql)
 	words, count := lex.tokenize()
-	st := Statement{Words: words, Count: count, Hints: lex.hints}
+	st := Statement{Tokens: words, Count: count, Hints: lex.hints}
 	st.Kind = kindOf(words, count)
 	return st
 }
--- a/core/conf/validate.go
+++ b/core/conf/validate.go
@@ -61,17 +61,17 @@
 	problems []string
 }
 
-func (v *validator) addf(format string, args ...any) {
+func (v *validator) problemf(format string, args ...any) {
 	v.problems = append(v.problems, fmt.Sprintf(format, args...))
 }
 
 // checkName checks the syntax of a name and that no other item of its kind has it.
 func (v *validator) checkName(kind, name string, seen map[string]bool) {
 	if len(name) > MaxNameLength || !namePattern.MatchString(name) {
-		v.addf("%s %q: a name is 1 to %d lower-case letters, digits or hyphens and begins with a letter", kind, name, MaxNameLength)
+		v.problemf("%s %q: a name is 1 to %d lower-case letters, digits or hyphens and begins with a letter", kind, name, MaxNameLength)
 	}
 	if seen[name] {
-		v.addf("%s %q is declared twice", kind, name)
+		v.problemf("%s %q is declared twice", kind, name)
 	}
 	seen[name] = true
 }
@@ -81,7 +81,7 @@
 	for _, z := range v.cfg.Zones {
 		v.checkName("zone", z.Name, seen)
 		if z.Region == "" {
-			v.addf("zone %q: region is missing", z.Name)
+			v.problemf("zone %q: region is missing", z.Name)
 		}
 	}
 }
@@ -92,7 +92,7 @@
 	for _, s := range v.cfg.Services {
 		v.checkName("service", s.Name, seen)
 		if len(s.Upstreams) == 0 {
-			v.addf("service %q has no upstreams", s.Name)
+			v.problemf("service %q has no upstreams", s.Name)
 		}
 		for _, u := range s.Upstreams {
 			v.checkName("upstream", u.Name, upstreams)
@@ -103,16 +103,16 @@
 
 func (v *validator) checkUpstream(u Upstream) {
 	if v.full.Region(u.Zone) == "" {
-		v.addf("upstream %q: zone %q is not declared", u.Name, u.Zone)
+		v.problemf("upstream %q: zone %q is not declared", u.Name, u.Zone)
 	}
 	if _, _, err := net.SplitHostPort(u.Address); err != nil {
-		v.addf("upstream %q: address %q is not host:port", u.Name, u.Address)
+		v.problemf("upstream %q: address %q is not host:port", u.Name, u.Address)
 	}
 	if u.Slots < 1 || u.Slots > MaxSlots {
-		v.addf("upstream %q: slots is %d, allowed are 1 to %d", u.Name, u.Slots, MaxSlots)
+		v.problemf("upstream %q: slots is %d, allowed are 1 to %d", u.Name, u.Slots, MaxSlots)
 	}
 	if u.Connections < u.Slots || u.Connections > MaxConnections {
-		v.addf("upstream %q: connections is %d, allowed are %d (its slots) to %d", u.Name, u.Connections, u.Slots, MaxConnections)
+		v.problemf("upstream %q: connections is %d, allowed are %d (its slots) to %d", u.Name, u.Connections, u.Slots, MaxConnections)
 	}
 }
 
@@ -121,7 +121,7 @@
 	for _, c := range classes {
 		v.checkName(kind, c.Name, seen)
 		if c.Staleness < 0 || c.Staleness > MaxStaleness {
-			v.addf("%s %q: staleness is %s, allowed are 0s to %s", kind, c.Name, c.Staleness, MaxStaleness)
+			v.problemf("%s %q: staleness is %s, allowed are 0s to %s", kind, c.Name, c.Staleness, MaxStaleness)
 		}
 	}
 }
@@ -133,11 +133,11 @@
 	for _, text := range t.Credentials {
 		c, err := catalog.ParseCredential(text)
 		if err != nil {
-			v.addf("team %q: %v", t.Name, err)
+			v.problemf("team %q: %v", t.Name, err)
 			continue
 		}
 		if other, found := teamByKey[c]; found && other != t.Name {
-			v.addf("team %q: key %s is also that of team %q", t.Name, c.Fingerprint(), other)
+			v.problemf("team %q: key %s is also that of team %q", t.Name, c.Fingerprint(), other)
 		}
 		teamByKey[c] = t.Name
 	}
@@ -149,10 +149,10 @@
 	for _, t := range v.cfg.Teams {
 		v.checkName("team", t.Name, seen)
 		if t.Weight < 0 || t.Weight > maxTeamWeight {
-			v.addf("team %q: weight is %g, allowed are 0 to %d", t.Name, t.Weight, maxTeamWeight)
+			v.problemf("team %q: weight is %g, allowed are 0 to %d", t.Name, t.Weight, maxTeamWeight)
 		}
 		if t.Connections < 0 {
-			v.addf("team %q: connections is %d, allowed are 0 and more", t.Name, t.Connections)
+			v.problemf("team %q: connections is %d, allowed are 0 and more", t.Name, t.Connections)
 		}
 		v.checkCredentials(t, teamByKey)
 	}
@@ -163,11 +163,11 @@
 	for _, e := range v.cfg.Events {
 		v.checkName("event", e.Name, seen)
 		if e.Start.IsZero() {
-			v.addf("event %q: start is missing", e.Name)
+			v.problemf("event %q: start is missing", e.Name)
 		}
 		for _, s := range e.Services {
 			if _, found := v.full.Service(s); !found {
-				v.addf("event %q: service %q is not declared", e.Name, s)
+				v.problemf("event %q: service %q is not declared", e.Name, s)
 			}
 		}
 		v.checkClasses("event "+e.Name+" class", e.Staleness)
@@ -177,10 +177,10 @@
 func (v *validator) checkDrains() {
 	for _, d := range v.cfg.Drains {
 		if d.Kind != DrainHost && d.Kind != DrainUpstream {
-			v.addf("drain %q: kind is %q, allowed are %q and %q", d.Name, d.Kind, DrainHost, DrainUpstream)
+			v.problemf("drain %q: kind is %q, allowed are %q and %q", d.Name, d.Kind, DrainHost, DrainUpstream)
 		}
 		if d.Kind == DrainUpstream && !v.hasUpstream(d.Name) {
-			v.addf("drain: upstream %q is not declared", d.Name)
+			v.problemf("drain: upstream %q is not declared", d.Name)
 		}
 	}
 }
--- a/core/connpool/idle.go
+++ b/core/connpool/idle.go
@@ -25,8 +25,8 @@
 	return best, best >= 0
 }
 
-// useIdle takes an idle connection into use.
-func (p *Pool) useIdle(index int) ConnID {
+// acquireIdle takes an idle connection into use.
+func (p *Pool) acquireIdle(index int) ConnID {
 	p.counts.Reused++
 	p.inUse[p.idle[index].Team]++
 	return p.removeIdle(index)
@@ -51,20 +51,20 @@
 	if !found {
 		return 0, Waiter{}, false
 	}
-	w := p.takeWaiter(index)
+	w := p.removeWaiter(index)
 	conn, _ := p.findIdle(w)
-	return p.useIdle(conn), w, true
+	return p.acquireIdle(conn), w, true
 }
 
-func (p *Pool) takeWaiter(index int) Waiter {
+func (p *Pool) removeWaiter(index int) Waiter {
 	w := p.waiting[index]
 	p.waiting = append(p.waiting[:index], p.waiting[index+1:]...)
 	return w
 }
 
-// DropIdle removes all idle connections and returns them for closing, after the
+// RemoveAllIdle removes all idle connections and returns them for closing, after the
 // member failed or was removed.
-func (p *Pool) DropIdle() []ConnID {
+func (p *Pool) RemoveAllIdle() []ConnID {
 	var ids []ConnID
 	for _, c := range p.idle {
 		ids = append(ids, c.ID)
@@ -110,7 +110,7 @@
 	case open > p.limits.FairShare:
 		return idleTimeoutAboveFairShare
 	case ofTeam > 1:
-		return spareIdleTimeout
+		return extraIdleTimeout
 	default:
 		return maxIdleTimeout
 	}
--- a/core/connpool/pool.go
+++ b/core/connpool/pool.go
@@ -37,10 +37,10 @@
 	// share. It is short, because other hosts may need the connections, but exceeds
 	// the pauses between statements of a busy host, because opening is expensive.
 	idleTimeoutAboveFairShare = 150 * time.Millisecond
-	// spareIdleTimeout is the idle timeout of a connection whose team has others.
+	// extraIdleTimeout is the idle timeout of a connection whose team has others.
 	// Closing spare connections leaves more of the member's limit to restarted hosts
 	// while the member still holds their old connections.
-	spareIdleTimeout = time.Second
+	extraIdleTimeout = time.Second
 	// maxIdleTimeout is the idle timeout of any other connection. It is shorter than
 	// the idle timeout of the members, which is 60 s.
 	maxIdleTimeout = 45 * time.Second
@@ -167,7 +167,7 @@
 func (p *Pool) Acquire(w Waiter, now time.Duration) Decision {
 	p.demand.record(w.Team, now)
 	if index, found := p.findIdle(w); found && !p.Exhausted() {
-		return Decision{Outcome: Granted, Conn: p.useIdle(index)}
+		return Decision{Outcome: Granted, Conn: p.acquireIdle(index)}
 	}
 	wait := p.expectedWait(w, now)
 	if len(p.waiting) >= p.limits.MaxWaiting || now+wait > p.latestUsefulStart(w) {
@@ -246,7 +246,7 @@
 		return Waiter{}, false
 	}
 	p.inUse[c.Team]++
-	return p.takeWaiter(index), true
+	return p.removeWaiter(index), true
 }
 
 // waiterForFreed returns the waiter that a freed connection of a team is assigned
@@ -319,7 +319,7 @@
 func (p *Pool) CancelWait(id uint64) bool {
 	for i, w := range p.waiting {
 		if w.ID == id {
-			p.takeWaiter(i)
+			p.removeWaiter(i)
 			return true
 		}
 	}
--- a/core/connpool/short_first_test.go
+++ b/core/connpool/short_first_test.go
@@ -11,8 +11,8 @@
 
 // mixedOverload offers one connection a third more work than it can run: five short
 // statements for each long one. It returns how many of each were served within
-// their latency target. extraTime is the ExtraTime of the long statements.
-func mixedOverload(extraTime time.Duration) (short, long int) {
+// their latency target. extraExecutionTime is the ExtraExecutionTime of the long statements.
+func mixedOverload(extraExecutionTime time.Duration) (short, long int) {
 	const shortTime, longTime = 9 * time.Millisecond, 15 * time.Millisecond
 	const interval = 7500 * time.Microsecond
 	p := connpool.New(connpool.Limits{MaxOpen: 1, FairShare: 1, MaxWaiting: 64})
@@ -54,7 +54,7 @@
 		next++
 		w := connpool.Waiter{ID: next, Priority: 2, Kind: "short", TargetDeadline: now + time.Second, OnTimeUntil: now + 500*time.Millisecond, StartDeadline: now + 800*time.Millisecond}
 		if next%6 == 0 {
-			w.Kind, w.ExtraTime, w.TargetDeadline, w.OnTimeUntil, w.StartDeadline = "long", extraTime, now+800*time.Millisecond, now+400*time.Millisecond, now+1200*time.Millisecond
+			w.Kind, w.ExtraExecutionTime, w.TargetDeadline, w.OnTimeUntil, w.StartDeadline = "long", extraExecutionTime, now+800*time.Millisecond, now+400*time.Millisecond, now+1200*time.Millisecond
 		}
 		switch d := p.Acquire(w, now); d.Outcome {
 		case connpool.Granted:
@@ -73,12 +73,12 @@
 	return short, long
 }
 
-// TestShortStatementsFirstServesMoreOnTime checks that ordering by ExtraTime serves more
+// TestShortStatementsFirstServesMoreOnTime checks that ordering by ExtraExecutionTime serves more
 // statements on time under overload, without starving the long ones.
 func TestShortStatementsFirstServesMoreOnTime(t *testing.T) {
 	shortUnweighted, longUnweighted := mixedOverload(0)
 	short, long := mixedOverload(6 * time.Millisecond)
 	require.Greater(t, short+long, shortUnweighted+longUnweighted)
 	require.Positive(t, long, "long statements are starved")
-	t.Logf("served on time: %d short and %d long without ExtraTime, %d and %d with it", shortUnweighted, longUnweighted, short, long)
+	t.Logf("served on time: %d short and %d long without ExtraExecutionTime, %d and %d with it", shortUnweighted, longUnweighted, short, long)
 }
--- a/core/connpool/waiter.go
+++ b/core/connpool/waiter.go
@@ -20,13 +20,13 @@
 	// Priority is the priority class; 0 is the highest.
 	Priority int
 	// TargetDeadline is when the statement's latency target ends. Among statements
-	// that are on time, and of the same ExtraTime, the earliest goes first.
+	// that are on time, and of the same ExtraExecutionTime, the earliest goes first.
 	TargetDeadline time.Duration
 	// Kind names the kind of statement. The pool does not interpret it.
 	Kind string
-	// ExtraTime is by how much the expected execution time exceeds that of the
+	// ExtraExecutionTime is by how much the expected execution time exceeds that of the
 	// fastest kind of statement.
-	ExtraTime time.Duration
+	ExtraExecutionTime time.Duration
 	// OnTimeUntil is when the statement becomes late. Late statements are served
 	// after all that are on time.
 	OnTimeUntil time.Duration
@@ -36,15 +36,15 @@
 	SessionValues string
 }
 
-// extraTimeFactor is the delay in a statement's order of service per unit of
-// ExtraTime. Preferring short statements lets an overloaded slot serve more
+// extraExecutionTimeFactor is the delay in a statement's order of service per unit of
+// ExtraExecutionTime. Preferring short statements lets an overloaded slot serve more
 // callers; too large a factor starves long statements.
-const extraTimeFactor = 50
+const extraExecutionTimeFactor = 50
 
 // effectiveDeadline returns the sort key of statements of the same priority that
 // are all on time or all late.
 func (w Waiter) effectiveDeadline() time.Duration {
-	return w.TargetDeadline + extraTimeFactor*w.ExtraTime
+	return w.TargetDeadline + extraExecutionTimeFactor*w.ExtraExecutionTime
 }
 
 // before reports whether w is served before v: by priority, then on-time before
--- a/core/directory/directory.go
+++ b/core/directory/directory.go
@@ -54,8 +54,8 @@
 	// LeavingSince is when Leaving was first seen; zero if it is not set.
 	LeavingSince time.Duration
 	missingSince time.Duration
-	// disputedStart is an earlier start time that the last entry has reported.
-	disputedStart StartTime
+	// earlierStart is an earlier start time that the last entry has reported.
+	earlierStart  StartTime
 	restoredEntry restoredEntry
 }
 
@@ -124,7 +124,7 @@
 	if e.StartedAt == 0 {
 		e.StartedAt = m.StartedAt
 	}
-	m.disputedStart = 0
+	m.earlierStart = 0
 	old := *m
 	m.Entry, m.Missing, m.missingSince = e, false, 0
 	m.updateLeavingSince(now)
@@ -153,18 +153,18 @@
 // the current incarnation. That happens at most once, so a second entry in a row with
 // the same earlier start time comes from a member whose clock was set back.
 func (m *Member) isFromEarlierIncarnation(e Entry) bool {
-	if e.StartedAt == 0 || e.StartedAt >= m.StartedAt || e.StartedAt == m.disputedStart && e.Revision > m.Revision {
+	if e.StartedAt == 0 || e.StartedAt >= m.StartedAt || e.StartedAt == m.earlierStart && e.Revision > m.Revision {
 		return false
 	}
-	m.disputedStart, m.Revision = e.StartedAt, e.Revision
+	m.earlierStart, m.Revision = e.StartedAt, e.Revision
 	return true
 }
 
-// StartTimeDisputed reports whether the newest entry of a member has an earlier start
+// HasEarlierStartTime reports whether the newest entry of a member has an earlier start
 // time than the current incarnation. The next entry resolves that.
-func (d *Directory) StartTimeDisputed(id string) bool {
+func (d *Directory) HasEarlierStartTime(id string) bool {
 	m, found := d.members[id]
-	return found && m.disputedStart != 0
+	return found && m.earlierStart != 0
 }
 
 func (m *Member) updateLeavingSince(now time.Duration) {
--- a/core/worktime/worktime.go
+++ b/core/exectime/exectime.go
@@ -1,19 +1,19 @@
-// Package worktime estimates how much longer one kind of statement executes on a
+// Package exectime estimates how much longer one kind of statement executes on a
 // member than another.
 //
 // A host observes only response times, which include the wait in the member's
 // queue. Kinds of statements that run during the same period see the same queueing
 // delay, so the difference between their mean response times is the difference
 // between their execution times.
-package worktime
+package exectime
 
 import (
 	"math"
 	"time"
 )
 
-// decayTime is the time constant of the means. It spans several fluctuations of
-// the queue length, so that these average out.
+// decayTime is the time constant of the means, long enough to average out
+// fluctuations of the queue length.
 const decayTime = 5 * time.Second
 
 // decayedMean is the mean response time of one kind of statement. Samples decay
@@ -46,10 +46,10 @@
 	t.kinds[kind] = m
 }
 
-// ExtraTime returns by how much the execution time of a kind of statement exceeds
-// that of the fastest kind observed within decayTime. It returns zero for an
-// unknown kind.
-func (t *Times) ExtraTime(kind string, now time.Duration) time.Duration {
+// ExtraExecutionTime returns by how much the execution time of a kind of statement
+// exceeds that of the fastest kind observed within decayTime. It returns zero for
+// an unknown kind.
+func (t *Times) ExtraExecutionTime(kind string, now time.Duration) time.Duration {
 	m, found := t.kinds[kind]
 	if !found {
 		return 0
--- a/core/mechanism/mechanism.go
+++ b/core/feature/feature.go
@@ -1,6 +1,6 @@
-// Package mechanism lists the optimizations that can be disabled on a host, to measure
-// the effect of each. Mechanisms that correctness depends on cannot be disabled.
-package mechanism
+// Package feature lists the optimizations that can be disabled on a host, to measure
+// the effect of each. Nothing that correctness depends on can be disabled.
+package feature
 
 import (
 	"fmt"
@@ -8,10 +8,10 @@
 	"strings"
 )
 
-// Name identifies a mechanism in settings.
+// Name identifies a feature in settings.
 type Name string
 
-// The mechanisms. A gate is a host that holds pooled connections to a member and runs
+// The features. A gate is a host that holds pooled connections to a member and runs
 // other hosts' statements on them. A floor is the log position that a replica must
 // have applied to serve a read.
 const (
@@ -67,16 +67,17 @@
 	}
 }
 
-// Disabled is the set of disabled mechanisms. The zero value disables none.
-type Disabled map[Name]bool
+// Set is the features of a host: it maps the disabled ones to true. The zero value
+// enables all features.
+type Set map[Name]bool
 
-// Enabled reports whether a mechanism is enabled.
-func (d Disabled) Enabled(n Name) bool { return !d[n] }
+// Enabled reports whether a feature is enabled.
+func (s Set) Enabled(n Name) bool { return !s[n] }
 
-// Names returns the disabled mechanisms in sorted order.
-func (d Disabled) Names() []string {
+// Disabled returns the disabled features in sorted order.
+func (s Set) Disabled() []string {
 	var out []string
-	for n, disabled := range d {
+	for n, disabled := range s {
 		if disabled {
 			out = append(out, string(n))
 		}
@@ -85,7 +86,7 @@
 	return out
 }
 
-// UnknownError reports a name that no mechanism has.
+// UnknownError reports a name that no feature has.
 type UnknownError struct{ Name string }
 
 func (e *UnknownError) Error() string {
@@ -96,14 +97,15 @@
 	return fmt.Sprintf("unknown mechanism %q; known mechanisms: %s", e.Name, strings.Join(known, ", "))
 }
 
-// Parse parses the names of mechanisms to disable. Its error is an *UnknownError.
-func Parse(names []string) (Disabled, error) {
-	d := Disabled{}
+// Parse returns the features with the named ones disabled. Its error is an
+// *UnknownError.
+func Parse(names []string) (Set, error) {
+	features := Set{}
 	for _, name := range names {
 		if !slices.Contains(All(), Name(name)) {
 			return nil, &UnknownError{Name: name}
 		}
-		d[Name(name)] = true
+		features[Name(name)] = true
 	}
-	return d, nil
+	return features, nil
 }
--- a/core/fresh/floors.go
+++ b/core/fresh/floors.go
@@ -1,10 +1,11 @@
 // Package fresh tracks, for one service, the log positions that bound how stale
-// a read may be.
+// a read may be. The floor of a read is the lowest log position at which it may be
+// served: a member must have applied its log at least up to the floor.
 //
 // A position that the primary reports in answer to a request sent at time t
-// covers every commit acknowledged before t. Only an exchange that proves
-// leadership counts: a stale primary would report a position that lacks the
-// commits of its successor.
+// covers every commit acknowledged before t. Only an exchange that confirms the
+// primary counts (see core/succession): a stale primary would report a position
+// that lacks the commits of its successor.
 package fresh
 
 import (
@@ -35,7 +36,7 @@
 	samples []sample
 }
 
-// Term returns the newest term in which a primary has proved its leadership.
+// Term returns the newest term in which a primary was confirmed.
 func (f *Floors) Term() logpos.Term { return f.term }
 
 // Observe records a position that the primary of its term reported in answer to
@@ -43,7 +44,7 @@
 func (f *Floors) Observe(p logpos.Position, sent time.Duration) { f.ObserveInTerm(p.Term, p, sent) }
 
 // ObserveInTerm records a position from an exchange, sent at the given time,
-// that proved the leadership of the answering member in a term. The position
+// that confirmed the answering member as the primary of a term. The position
 // has an older term until a new primary has written. A newer term drops all
 // earlier samples: the promotion may have rolled back what they cover, and a
 // read that required it would never be served.
@@ -114,8 +115,8 @@
 }
 
 // raiseToSession returns the later of p and the session's position. A session
-// position of an older term adds nothing: whatever survived of that term is
-// below every sample of this one.
+// position of an older term is ignored: the entries of that term that survived
+// are below every sample of this one.
 func (f *Floors) raiseToSession(p, session logpos.Position) logpos.Position {
 	if session.Term == f.term {
 		return maxPosition(p, session)
@@ -133,17 +134,17 @@
 	return s.position, s.sent, true
 }
 
-// Lag estimates how much later the primary's log reached floor than it reached
-// held; zero if held is at or past floor. It returns false without samples, and
-// if either position is of an older term.
-func (f *Floors) Lag(held, floor logpos.Position) (time.Duration, bool) {
-	if !held.Less(floor) {
+// Lag estimates how much later the primary's log reached position to than position
+// from; zero if from is at or past to. It returns false without samples, and if
+// either position is of an older term.
+func (f *Floors) Lag(from, to logpos.Position) (time.Duration, bool) {
+	if !from.Less(to) {
 		return 0, true
 	}
-	if len(f.samples) == 0 || held.Term != f.term || floor.Term != f.term {
+	if len(f.samples) == 0 || from.Term != f.term || to.Term != f.term {
 		return 0, false
 	}
-	return f.firstReached(floor) - f.lastNotPast(held), true
+	return f.firstReached(to) - f.lastNotPast(from), true
 }
 
 // firstReached returns when the log was first known to reach p, or the time of
--- a/core/fresh/floors_test.go
+++ b/core/fresh/floors_test.go
@@ -106,19 +106,19 @@
 		f.Observe(pos(3, 100+10*i), 10*second+time.Duration(i)*second)
 	}
 	for _, c := range []struct {
-		held, floor int
-		want        time.Duration
+		from, to int
+		want     time.Duration
 	}{
-		{held: 140, floor: 140, want: 0},
-		{held: 141, floor: 120, want: 0},
-		{held: 110, floor: 130, want: 2 * second},
-		{held: 115, floor: 125, want: 2 * second},
-		{held: 50, floor: 120, want: 2 * second},
-		{held: 130, floor: 999, want: second},
+		{from: 140, to: 140, want: 0},
+		{from: 141, to: 120, want: 0},
+		{from: 110, to: 130, want: 2 * second},
+		{from: 115, to: 125, want: 2 * second},
+		{from: 50, to: 120, want: 2 * second},
+		{from: 130, to: 999, want: second},
 	} {
-		d, known := f.Lag(pos(3, c.held), pos(3, c.floor))
+		d, known := f.Lag(pos(3, c.from), pos(3, c.to))
 		require.True(t, known)
-		require.Equal(t, c.want, d, "%d to %d", c.held, c.floor)
+		require.Equal(t, c.want, d, "%d to %d", c.from, c.to)
 	}
 	_, known = f.Lag(pos(2, 500), pos(3, 120))
 	require.False(t, known, "the lag of a log of an older term is unknown")
--- a/core/gates/plan.go
+++ b/core/gates/plan.go
@@ -64,32 +64,32 @@
 
 // Plan divides the connections of the members of one service.
 type Plan struct {
-	fleet  Fleet
-	usable int
+	fleet       Fleet
+	connections int
 }
 
 // NewPlan returns a plan for members that accept the given number of connections.
 func NewPlan(fleet Fleet, connections int) Plan {
-	return Plan{fleet: fleet, usable: max(connections, 1)}
+	return Plan{fleet: fleet, connections: max(connections, 1)}
 }
 
 // activeConnections returns how many connections the gates of a member use at once.
 func (p Plan) activeConnections(m Member) int {
 	if m.Slots <= 0 {
-		return p.usable
+		return p.connections
 	}
-	return min(p.usable, maxConnectionsPerSlot*m.Slots)
+	return min(p.connections, maxConnectionsPerSlot*m.Slots)
 }
 
 // pooledConnections returns how many connections the gates of a member pool for
 // different teams: all but those reserved for hosts that restart after a power failure.
 func (p Plan) pooledConnections(m Member) int {
-	return max(p.activeConnections(m), p.usable-reservedPerSlot*m.Slots)
+	return max(p.activeConnections(m), p.connections-reservedPerSlot*m.Slots)
 }
 
 // EvenShare returns a host's share if every host has connections of its own.
 func (p Plan) EvenShare() Share {
-	each := max(p.usable/max(p.fleet.Size(), 1), 1)
+	each := max(p.connections/max(p.fleet.Size(), 1), 1)
 	return gateShare(each, each)
 }
 
@@ -129,7 +129,7 @@
 	}
 }
 
-// RouteOf returns the addresses to which one host sends a team's statements for a
+// GateRoute returns the addresses to which one host sends a team's statements for a
 // member, in order of preference. It ends where the host itself ranks, and is empty if
 // the host comes first.
 //
@@ -137,7 +137,7 @@
 // all statements of a team to the same gate lets the gates together pool connections
 // for more teams than if each served every team. Losing a gate moves only its own
 // teams.
-func (s Share) RouteOf(team, member, host string) []string {
+func (s Share) GateRoute(team, member, host string) []string {
 	out := make([]string, 0, len(s.GateHosts))
 	for _, h := range membership.RankBy(member+"\x00"+team, s.GateHosts, hostName) {
 		if h.Name == host {
--- a/core/gates/plan_bench_test.go
+++ b/core/gates/plan_bench_test.go
@@ -12,7 +12,7 @@
 func BenchmarkPlan(b *testing.B) {
 	for _, size := range []struct{ hosts, services int }{{30, 4}, {300, 20}, {5000, 20}} {
 		b.Run(fmt.Sprintf("%d hosts, %d services", size.hosts, size.services), func(b *testing.B) {
-			hosts, zones := sixZones(size.hosts)
+			hosts, zones := newTestFleet(size.hosts)
 			for b.Loop() {
 				plan := gates.NewPlan(gates.NewFleet(hosts, zones), 87)
 				for m := range 3 * size.services {
@@ -23,9 +23,9 @@
 	}
 }
 
-// sixZones returns hosts spread over six zones in three regions, and the zones'
+// newTestFleet returns hosts spread over six zones in three regions, and the zones'
 // regions.
-func sixZones(count int) ([]gates.Host, map[string]string) {
+func newTestFleet(count int) ([]gates.Host, map[string]string) {
 	regionOf := map[string]string{}
 	var hosts []gates.Host
 	for i := range count {
@@ -41,21 +41,21 @@
 func BenchmarkShares(b *testing.B) {
 	for _, size := range []struct{ hosts, services int }{{30, 4}, {300, 20}, {5000, 1000}} {
 		b.Run(fmt.Sprintf("%d hosts, %d services", size.hosts, size.services), func(b *testing.B) {
-			hosts, zones := sixZones(size.hosts)
+			hosts, zones := newTestFleet(size.hosts)
 			fleet := gates.NewFleet(nil, zones).Next(hosts)
 			shares := gates.NewShareCache(hosts[0].Name)
-			askAll := func(f gates.Fleet) {
+			computeShares := func(f gates.Fleet) {
 				plan := gates.NewPlan(f, 87)
 				for m := range 3 * size.services {
 					shares.For(plan, gates.Member{ID: fmt.Sprint("member-", m), Zone: fmt.Sprint("zone-", m%6), Slots: 2})
 				}
 			}
-			askAll(fleet)
+			computeShares(fleet)
 			for b.Loop() {
 				fleet = fleet.Next(hosts[:len(hosts)-1])
-				askAll(fleet)
+				computeShares(fleet)
 				fleet = fleet.Next(hosts)
-				askAll(fleet)
+				computeShares(fleet)
 			}
 		})
 	}
--- a/core/gates/plan_test.go
+++ b/core/gates/plan_test.go
@@ -148,7 +148,7 @@
 		gate := ""
 		for _, h := range hosts {
 			share := gates.NewPlan(gates.NewFleet(hosts, regions), 33).For(m, h.Name)
-			route := share.RouteOf(team, m.ID, h.Name)
+			route := share.GateRoute(team, m.ID, h.Name)
 			first := h.Address
 			if len(route) > 0 {
 				first = route[0]
--- a/core/gates/share_cache.go
+++ b/core/gates/share_cache.go
@@ -15,10 +15,10 @@
 // cachedShare is the cached share in one member and the inputs it was computed from.
 type cachedShare struct {
 	member Member
-	// usable is how many connections the member accepted.
-	usable int
-	top    *membership.TopHosts
-	share  Share
+	// connections is how many connections the member accepted.
+	connections int
+	top         *membership.TopHosts
+	share       Share
 	// valid is set if share is up to date with the other fields.
 	valid bool
 }
@@ -36,8 +36,8 @@
 		c = &cachedShare{top: p.fleet.nearestHosts(m, p.gateCount(m))}
 		s.byMember[m.ID] = c
 	}
-	if !c.valid || c.member != m || c.usable != p.usable {
-		c.member, c.usable = m, p.usable
+	if !c.valid || c.member != m || c.connections != p.connections {
+		c.member, c.connections = m, p.connections
 		c.share, c.valid = p.share(m, s.host, c.top), true
 	}
 	return c.share
--- a/core/group/cluster_test.go
+++ b/core/group/cluster_test.go
@@ -117,10 +117,10 @@
 	c.send(h, c.hosts[h].Tick(c.now))
 }
 
-// handover has a host replace a healthy member.
-func (c *cluster) handover() {
+// switchover has a host replace a healthy member.
+func (c *cluster) switchover() {
 	h := c.randomHost()
-	c.send(h, c.hosts[h].Handover(c.now, []string{c.randomMember().name}))
+	c.send(h, c.hosts[h].Switchover(c.now, []string{c.randomMember().name}))
 }
 
 // deliver delivers a random message, which may stay in the network as a
@@ -207,8 +207,8 @@
 	c.network = append(c.network, m)
 }
 
-// promote checks that a term has one primary, and that a new primary holds
-// every write acknowledged so far.
+// promote checks that a term has one primary, and that a new primary has every
+// write acknowledged so far.
 func (c *cluster) promote(target *modelMember, m message) bool {
 	was := target.primary
 	done := target.promote(m.action.Term, m.host)
--- a/core/group/controller.go
+++ b/core/group/controller.go
@@ -37,17 +37,19 @@
 	deadline time.Duration
 	// nextProbes holds the time of the next probe of each member.
 	nextProbes []time.Duration
+	suspected  bool
 	// suspectedSince is the time since which the group has had no healthy
 	// primary; valid if suspected is true.
-	suspected      bool
 	suspectedSince time.Duration
 	// backoffUntil is the earliest time of the next claim.
 	backoffUntil time.Duration
 	// highestSeenTerm is the newest term known to have been granted by any
 	// member.
 	highestSeenTerm logpos.Term
-	// excluded holds the members that a planned handover must not promote.
-	excluded        map[string]bool
+	// excluded holds the members that a switchover must not promote.
+	excluded map[string]bool
+	// fastProbesUntil is the end of the fast probing that a failed statement
+	// caused.
 	fastProbesUntil time.Duration
 	promotions      int
 }
@@ -231,6 +233,7 @@
 	if !found {
 		return c.timing.SuspectAfter
 	}
+	// A restarting listener may refuse a single connection.
 	const minRefusals = 2
 	if c.view.member(primary.Member).refusals >= minRefusals {
 		return c.timing.RefusedAfter
--- a/core/group/entry_state.go
+++ b/core/group/entry_state.go
@@ -9,8 +9,8 @@
 const (
 	// Pending means that the outcome is not known yet.
 	Pending EntryState = iota
-	// Committed means that a majority holds the entry in the newest known term,
-	// so that no change of primary can lose it.
+	// Committed means that a majority has the entry in the newest known term, so
+	// that no change of primary can lose it.
 	Committed
 	// Abandoned means that the committed branch of a newer term lacks the
 	// entry.
@@ -18,8 +18,8 @@
 )
 
 // EntryState returns the state of the entry at p. An entry of an older term is
-// judged by the history of the newest primary, once an entry of that primary's
-// own term is committed.
+// compared with the history of the newest primary, once an entry of that
+// primary's own term is committed.
 func (v *View) EntryState(p logpos.Position) EntryState {
 	primary, found := v.Primary()
 	if !found || primary.GrantedTerm < p.Term {
--- a/core/group/heartbeat_budget.go
+++ b/core/group/heartbeat_budget.go
@@ -15,8 +15,8 @@
 	MinInterval, MaxInterval time.Duration
 }
 
-// DefaultHeartbeatBudget returns three fifths of a control traffic budget of 6
-// KB/s. See docs/CAPACITY.md.
+// DefaultHeartbeatBudget returns the default budget, a part of the control
+// traffic of a host; see docs/CAPACITY.md.
 func DefaultHeartbeatBudget() HeartbeatBudget {
 	return HeartbeatBudget{
 		ProbeBytes: 400, BytesPerSecond: 3600,
--- a/core/group/promotion.go
+++ b/core/group/promotion.go
@@ -6,12 +6,12 @@
 	"github.com/dotterelswitch/dotterelswitch/core/logpos"
 )
 
-// Handover replaces a healthy primary that is among the excluded members. It
+// Switchover replaces a healthy primary that is among the excluded members. It
 // does nothing if the primary is not excluded or a promotion is in progress.
-// The new primary is chosen by a majority of the other members, which holds
-// every committed entry. Entries that only the old primary holds are abandoned,
+// The new primary needs grants of a majority without the excluded members, so it
+// has every committed entry. Entries that only the old primary has are abandoned,
 // so writes to it should be stopped first.
-func (c *Controller) Handover(now time.Duration, exclude []string) []Action {
+func (c *Controller) Switchover(now time.Duration, exclude []string) []Action {
 	primary, found := c.view.Primary()
 	if !found || c.phase != monitoring || c.suspected || now < c.backoffUntil {
 		return nil
--- a/core/group/read.go
+++ b/core/group/read.go
@@ -36,9 +36,9 @@
 	Ahead
 )
 
-// CanRead judges a read on a member by its last known applied position.
-// Positions only increase, so Eligible stays valid until the member changes
-// branch; the caller checks the position of the answer.
+// CanRead reports whether a member may serve a read, by its last known applied
+// position. Positions only increase, so Eligible stays valid until the member
+// changes branch; the caller checks the position of the answer.
 func (v *View) CanRead(member string, need ReadRequirement) ReadVerdict {
 	st, answered := v.Status(member)
 	if !answered {
@@ -47,7 +47,8 @@
 	return v.CanServe(st.Applied, need)
 }
 
-// CanServe judges a read by the position at which it runs or ran.
+// CanServe reports whether a read is valid at the position at which it runs or
+// ran.
 func (v *View) CanServe(applied logpos.Position, need ReadRequirement) ReadVerdict {
 	primary, found := v.Primary()
 	if !found {
@@ -73,11 +74,12 @@
 	return Eligible
 }
 
-// tokenBeyondLog reports whether the token is past the end of the log of a term
-// that a majority still held after the read arrived, and so cannot be valid.
+// tokenBeyondLog reports whether the token is past the end of the primary's log,
+// and so cannot be valid, because the primary's term was still the newest of a
+// majority after the read arrived.
 func (v *View) tokenBeyondLog(primary Status, need ReadRequirement) bool {
-	stood, found := v.MajorityHeldAt(primary.GrantedTerm)
-	if !found || stood < need.ArrivedAt || primary.GrantedTerm < v.HighestTerm() {
+	confirmedAt, found := v.QuorumConfirmedAt(primary.GrantedTerm)
+	if !found || confirmedAt < need.ArrivedAt || primary.GrantedTerm < v.HighestTerm() {
 		return false
 	}
 	if m := v.member(primary.Member); m.sent < need.ArrivedAt {
@@ -89,15 +91,16 @@
 	return need.Token.Term == primary.GrantedTerm && need.Token.Offset > primary.Last.Offset
 }
 
-// CheckPrimaryRead judges a read that ran on a primary by the position it saw.
-// The read is valid (Committed) if it saw only committed entries and a majority
-// still held the primary's term at a time within the staleness bound.
+// CheckPrimaryRead reports whether a read that ran on a primary is valid, by the
+// position it saw. It is valid (Committed) if it saw only committed entries and the
+// primary's term was still the newest of a majority at a time within the staleness
+// bound.
 func (v *View) CheckPrimaryRead(p logpos.Position, need ReadRequirement) EntryState {
-	if landing := v.EntryState(p); landing != Committed {
-		return landing
+	if state := v.EntryState(p); state != Committed {
+		return state
 	}
-	stood, found := v.MajorityHeldAt(p.Term)
-	if found && stood >= need.ArrivedAt-need.Staleness {
+	confirmedAt, found := v.QuorumConfirmedAt(p.Term)
+	if found && confirmedAt >= need.ArrivedAt-need.Staleness {
 		return Committed
 	}
 	if primary, _ := v.Primary(); primary.GrantedTerm > p.Term {
--- a/core/group/safety_test.go
+++ b/core/group/safety_test.go
@@ -29,7 +29,7 @@
 				c.partition()
 			}
 			if c.randomInt(0, 40) == 0 {
-				c.handover()
+				c.switchover()
 			}
 		}
 		promotions.add(len(c.primaryOf) - 1)
--- a/core/group/status.go
+++ b/core/group/status.go
@@ -1,6 +1,9 @@
 // Package group decides, for one database group, which member is its primary,
-// which writes are safe to acknowledge, and how stale a replica can be. It is a
-// pure state machine: its inputs are statuses, replies and times, and its
+// which writes are safe to acknowledge, and how stale a replica can be. It is
+// used for PostgreSQL groups, which the hosts promote themselves; package
+// core/succession serves the users' platform, which carries out promotions.
+//
+// It is a pure state machine: its inputs are statuses, replies and times, and its
 // outputs are actions. Several hosts run it concurrently for the same group.
 // Safety depends only on the terms that the members grant, not on clocks,
 // leases or membership.
--- a/core/group/view.go
+++ b/core/group/view.go
@@ -18,16 +18,17 @@
 type memberView struct {
 	name string
 	// status is the newest answer; valid if answered is true.
-	status   Status
+	status Status
+	// answered is set once the member has answered a probe.
 	answered bool
 	// sent is when the probe of the newest answer was sent.
-	sent time.Duration
+	sent    time.Duration
+	failing bool
 	// failedSince is when the first of the current run of failed probes was
-	// sent; valid if failing is true. refusals counts the refused probes of
-	// that run.
-	failing     bool
+	// sent; valid if failing is true.
 	failedSince time.Duration
-	refusals    int
+	// refusals counts the refused probes of the current run.
+	refusals int
 }
 
 func NewView(members []string) *View {
@@ -140,16 +141,16 @@
 }
 
 // CommittedOffset returns the largest offset that a majority holds in the given
-// term. Entries of older terms count only once a later entry of this term is
-// held, and a member that is known to have granted a newer term does not count.
-// A replica's position is the later of its own answer and its acknowledgement
-// to the primary: either shows that it held the entry before it granted a newer
-// term.
+// term. Entries of older terms count only once a majority has a later entry of
+// this term, and a member that is known to have granted a newer term does not
+// count. A replica's position is the later of its own answer and its
+// acknowledgement to the primary: either shows that it had the entry before it
+// granted a newer term.
 func (v *View) CommittedOffset(term logpos.Term) logpos.Offset {
 	offsets := make([]logpos.Offset, 0, len(v.members))
 	acks := v.acks(term)
 	for i := range v.members {
-		if offset := v.heldOffset(&v.members[i], term, acks); offset > 0 {
+		if offset := v.replicatedOffset(&v.members[i], term, acks); offset > 0 {
 			offsets = append(offsets, offset)
 		}
 	}
@@ -169,9 +170,9 @@
 	return primary.Acks
 }
 
-// heldOffset returns the largest offset that a member is known to hold in a
-// term.
-func (v *View) heldOffset(m *memberView, term logpos.Term, acks []Ack) logpos.Offset {
+// replicatedOffset returns the largest offset up to which a member is known to
+// have the log of a term.
+func (v *View) replicatedOffset(m *memberView, term logpos.Term, acks []Ack) logpos.Offset {
 	if m.answered && m.status.GrantedTerm > term {
 		return 0
 	}
@@ -187,11 +188,11 @@
 	return offset
 }
 
-// MajorityHeldAt returns the latest time at which the given term is known to
-// have been the newest that a majority had granted. No later term can have
-// acknowledged a write before then, because it would have needed one of those
-// members.
-func (v *View) MajorityHeldAt(term logpos.Term) (time.Duration, bool) {
+// QuorumConfirmedAt returns the latest time at which the given term is known to
+// have been the newest term granted by each member of a majority. No later term
+// can have acknowledged a write before then, because it would have needed one of
+// those members.
+func (v *View) QuorumConfirmedAt(term logpos.Term) (time.Duration, bool) {
 	times := make([]time.Duration, 0, len(v.members))
 	for i := range v.members {
 		m := &v.members[i]
@@ -207,18 +208,17 @@
 }
 
 // FreshAsOf returns the latest time at which a log that ends at p is known to
-// have held every acknowledged write. The second result is false if no such
+// have contained every acknowledged write. The second result is false if no such
 // time is known or p is on an abandoned branch. The bound holds under network
-// partitions, because it requires a majority that still held the primary's
-// term.
+// partitions, because it requires a majority that had granted no newer term.
 func (v *View) FreshAsOf(p logpos.Position) (time.Duration, bool) {
 	primary, found := v.Primary()
 	if !found || !primary.History.Contains(p) {
 		return 0, false
 	}
-	stood, found := v.MajorityHeldAt(primary.GrantedTerm)
+	confirmedAt, found := v.QuorumConfirmedAt(primary.GrantedTerm)
 	if !found {
 		return 0, false
 	}
-	return v.samples.latest(primary.GrantedTerm, p.Offset, stood)
+	return v.samples.latest(primary.GrantedTerm, p.Offset, confirmedAt)
 }
--- a/core/session/session.go
+++ b/core/session/session.go
@@ -76,7 +76,7 @@
 	if st.Kind == statement.Malformed {
 		return s.refuse(statement.Invalid, st.Problem), true
 	}
-	if s.State == statement.Failed {
+	if s.State == statement.TransactionFailed {
 		return s.answerInFailedTransaction(st), true
 	}
 	switch st.Kind {
@@ -154,10 +154,10 @@
 // begin opens a transaction without an upstream. The upstream is chosen at the first
 // statement, so that no connection is held before it.
 func (s *Session) begin(st statement.Statement) statement.Answer {
-	if s.State == statement.Open {
+	if s.State == statement.InTransaction {
 		return s.refuse(statement.Invalid, "a transaction is open already")
 	}
-	s.State, s.ReadOnly, s.Wrote = statement.Open, st.ReadOnly, false
+	s.State, s.ReadOnly, s.Wrote = statement.InTransaction, st.ReadOnly, false
 	return statement.Answer{State: s.State}
 }
 
@@ -168,8 +168,8 @@
 
 // FailTransaction marks the open transaction, if any, as failed.
 func (s *Session) FailTransaction() {
-	if s.State == statement.Open {
-		s.State = statement.Failed
+	if s.State == statement.InTransaction {
+		s.State = statement.TransactionFailed
 	}
 }
 
--- a/core/session/session_test.go
+++ b/core/session/session_test.go
@@ -39,7 +39,7 @@
 
 func TestBeginAndRollbackNeedNoUpstream(t *testing.T) {
 	s := session.New("db")
-	require.Equal(t, statement.Open, answerLocally(t, s, statement.Statement{Kind: statement.Begin, ReadOnly: true}).State)
+	require.Equal(t, statement.InTransaction, answerLocally(t, s, statement.Statement{Kind: statement.Begin, ReadOnly: true}).State)
 	require.True(t, s.ReadOnly)
 	require.Equal(t, statement.Invalid, answerLocally(t, s, statement.Statement{Kind: statement.Begin}).Code)
 	require.Equal(t, statement.Idle, answerLocally(t, s, statement.Statement{Kind: statement.Rollback}).State)
@@ -53,7 +53,7 @@
 	s.FailTransaction()
 	a := answerLocally(t, s, statement.Statement{Kind: statement.Read})
 	require.Equal(t, statement.Invalid, a.Code)
-	require.Equal(t, statement.Failed, a.State)
+	require.Equal(t, statement.TransactionFailed, a.State)
 	a = answerLocally(t, s, statement.Statement{Kind: statement.Commit})
 	require.Equal(t, statement.Aborted, a.Code)
 	require.Equal(t, statement.Idle, a.State)
@@ -77,7 +77,7 @@
 		if first == statement.Read {
 			require.Equal(t, statement.Aborted, a.Code)
 			require.Equal(t, "idle timeout", a.Detail)
-			require.Equal(t, statement.Failed, a.State)
+			require.Equal(t, statement.TransactionFailed, a.State)
 			answerLocally(t, s, statement.Statement{Kind: statement.Rollback})
 		}
 		answerLocally(t, s, statement.Statement{Kind: statement.Begin})
--- a/core/statement/answer.go
+++ b/core/statement/answer.go
@@ -10,10 +10,10 @@
 	// Idle means that no transaction is open.
 	Idle TxState = iota
 	// Open means that a transaction is in progress.
-	Open
+	InTransaction
 	// Failed means that a statement of the open transaction failed, so that only its
 	// end is accepted.
-	Failed
+	TransactionFailed
 )
 
 // Code is the result code of a statement.
--- a/core/succession/choose.go
+++ b/core/succession/choose.go
@@ -7,8 +7,8 @@
 	"github.com/dotterelswitch/dotterelswitch/core/statement"
 )
 
-// Report is the status that a replica returned during a promotion.
-type Report struct {
+// CandidateStatus is the status that a replica returned during a promotion.
+type CandidateStatus struct {
 	ID      string
 	Leaving bool
 	Status  statement.Status
@@ -16,20 +16,20 @@
 
 // ChooseCandidate returns the member to promote: the one with the most advanced
 // log, since entries that it has not received are lost. Among equal logs, a
-// member that stays is preferred to one that is leaving. Replicas is the number
-// of replicas, and syncReplicas how many of them hold every acknowledged
-// commit: unless the reports must include one of those, it returns false.
-func ChooseCandidate(reports []Report, replicas, syncReplicas int) (Report, bool) {
-	if len(reports) == 0 {
-		return Report{}, false
+// member that stays is preferred to one that is leaving. It returns false if too
+// few of the replicas answered to be sure that one of the candidates has every
+// acknowledged commit, which syncReplicas of the replicas have.
+func ChooseCandidate(candidates []CandidateStatus, replicas, syncReplicas int) (CandidateStatus, bool) {
+	if len(candidates) == 0 {
+		return CandidateStatus{}, false
 	}
-	if syncReplicas > 0 && len(reports)+syncReplicas <= replicas {
-		return Report{}, false
+	if syncReplicas > 0 && len(candidates)+syncReplicas <= replicas {
+		return CandidateStatus{}, false
 	}
-	return slices.MaxFunc(reports, compareReports), true
+	return slices.MaxFunc(candidates, compareCandidates), true
 }
 
-func compareReports(a, b Report) int {
+func compareCandidates(a, b CandidateStatus) int {
 	if c := a.Status.Received.Compare(b.Status.Received); c != 0 {
 		return c
 	}
--- a/core/succession/earliest_start.go
+++ b/core/succession/earliest_start.go
@@ -7,20 +7,19 @@
 	// exceeds the time in which the lock of the first one becomes known to the
 	// others.
 	Stagger = 150 * time.Millisecond
-	// maxRank bounds the wait of the last host.
+	// maxRank is the rank from which on hosts wait no longer than those before.
 	maxRank = 6
 	// TakeoverDelay is how long the lock holder may show no activity before
 	// another host takes the lock over, because the holder failed together with
 	// the primary, is paused, or does not suspect the primary. It allows for
-	// two unanswered requests to the holder, and bounds the outage that its
-	// loss adds.
+	// two unanswered requests to the holder.
 	TakeoverDelay = 400 * time.Millisecond
 )
 
 // EarliestStart returns when a host may start to lead a promotion. Rank is its
 // position, from zero, among the hosts that could; lockFree reports that nobody
-// holds the promotion lock; since is when the host found a reason to act; and
-// holderSeenAt is when the lock holder last showed activity, or zero.
+// holds the promotion lock; since is when the host found that the primary must be
+// replaced; and holderSeenAt is when the lock holder last showed activity, or zero.
 func EarliestStart(rank int, lockFree bool, since, holderSeenAt time.Duration) time.Duration {
 	wait := Stagger * time.Duration(min(rank, maxRank))
 	if lockFree {
--- a/core/succession/high_water_mark.go
+++ b/core/succession/high_water_mark.go
@@ -34,8 +34,8 @@
 
 // Regressed reports whether a position that a member reports as the primary of
 // a term, in answer to a request sent at the given time, is below the
-// high-water mark. Answers may be reordered, so a request sent before the mark
-// was recorded proves nothing.
+// high-water mark. Answers may be reordered, so the answer to a request sent
+// before the mark was recorded is ignored.
 func (h *HighWaterMark) Regressed(member string, term logpos.Term, p logpos.Position, sent time.Duration) bool {
 	return term == h.term && member == h.member && p.Less(h.position) && sent > h.observedAt
 }
--- a/core/succession/high_water_mark_test.go
+++ b/core/succession/high_water_mark_test.go
@@ -39,5 +39,5 @@
 	require.False(t, h.Regressed("b", 4, position(4, 1201), 12*time.Second))
 	require.False(t, h.Regressed("a", 5, position(3, 1200), 12*time.Second), "a new term may start from a shorter log")
 	h.Observe("a", 3, position(3, 1300), 13*time.Second)
-	require.True(t, h.Regressed("b", 4, position(3, 1100), 14*time.Second), "a late observation of an older term is ignored")
+	require.True(t, h.Regressed("b", 4, position(3, 1100), 14*time.Second), "a delayed observation of an older term is ignored")
 }
--- a/core/succession/lock.go
+++ b/core/succession/lock.go
@@ -23,15 +23,15 @@
 // host that cannot reach the store may have lost the lock without noticing, so
 // every host that can reach it must still see the same token. Safety comes from
 // fencing by the platform; this check avoids concurrent promotions.
-func MayLead(self string, lock Lock, storeReached bool, opinions []Opinion) bool {
+func MayLead(self string, lock Lock, storeReached bool, reports []PeerReport) bool {
 	if lock.Holder != self {
 		return false
 	}
 	if storeReached {
 		return true
 	}
-	for _, o := range opinions {
-		if o.StoreReached && o.Lock != lock.Token() {
+	for _, r := range reports {
+		if r.StoreReached && r.Lock != lock.Token() {
 			return false
 		}
 	}
--- a/core/succession/lock_test.go
+++ b/core/succession/lock_test.go
@@ -17,12 +17,12 @@
 	require.False(t, succession.MayLead("a", succession.Lock{}, true, nil))
 	require.True(t, succession.MayLead("a", lock, true, nil))
 	require.True(t, succession.MayLead("a", lock, false, nil), "no host reaches the store")
-	opinionsWithLock := func(revision uint64) []succession.Opinion {
-		return []succession.Opinion{{Host: "b", Dead: true}, {Host: "c", StoreReached: true, Lock: revision}}
+	reportsWithLock := func(revision uint64) []succession.PeerReport {
+		return []succession.PeerReport{{Host: "b", Dead: true}, {Host: "c", StoreReached: true, Lock: revision}}
 	}
-	require.True(t, succession.MayLead("a", lock, false, opinionsWithLock(7)), "the lock is unchanged")
-	require.False(t, succession.MayLead("a", lock, false, opinionsWithLock(9)), "another host has taken the lock")
-	require.False(t, succession.MayLead("a", lock, false, opinionsWithLock(0)), "the lease has expired")
+	require.True(t, succession.MayLead("a", lock, false, reportsWithLock(7)), "the lock is unchanged")
+	require.False(t, succession.MayLead("a", lock, false, reportsWithLock(9)), "another host has taken the lock")
+	require.False(t, succession.MayLead("a", lock, false, reportsWithLock(0)), "the lease has expired")
 }
 
 // TestEarliestStartPrefersLockHolder: other hosts wait for the holder, longer
@@ -37,16 +37,16 @@
 	require.Equal(t, succession.EarliestStart(6, false, since, 0), succession.EarliestStart(60, false, since, 0))
 }
 
-func TestOpinionsExpireAndAreOfOnePrimary(t *testing.T) {
-	var o succession.Opinions
-	o.Record("p", succession.Opinion{Host: "a", Dead: true}, 100*ms)
-	o.Record("p", succession.Opinion{Host: "b"}, 300*ms)
-	require.Equal(t, []string{"a"}, succession.HostsSuspecting(o.Current("p", 400*ms)))
-	o.Record("p", succession.Opinion{Host: "a"}, 50*ms)
-	require.Equal(t, []string{"a"}, succession.HostsSuspecting(o.Current("p", 400*ms)), "an older answer that arrives late is ignored")
-	require.Len(t, o.Current("p", 700*ms), 1)
-	require.Empty(t, o.Current("q", 400*ms))
-	o.Record("q", succession.Opinion{Host: "b", Dead: true}, 500*ms)
-	require.Empty(t, o.Current("p", 500*ms))
-	require.Len(t, o.Current("q", 500*ms), 1)
+func TestPeerReportsExpireAndAreOfOnePrimary(t *testing.T) {
+	var reports succession.PeerReports
+	reports.Record("p", succession.PeerReport{Host: "a", Dead: true}, 100*ms)
+	reports.Record("p", succession.PeerReport{Host: "b"}, 300*ms)
+	require.Equal(t, []string{"a"}, succession.HostsSuspecting(reports.Current("p", 400*ms)))
+	reports.Record("p", succession.PeerReport{Host: "a"}, 50*ms)
+	require.Equal(t, []string{"a"}, succession.HostsSuspecting(reports.Current("p", 400*ms)), "a delayed older report is ignored")
+	require.Len(t, reports.Current("p", 700*ms), 1)
+	require.Empty(t, reports.Current("q", 400*ms))
+	reports.Record("q", succession.PeerReport{Host: "b", Dead: true}, 500*ms)
+	require.Empty(t, reports.Current("p", 500*ms))
+	require.Len(t, reports.Current("q", 500*ms), 1)
 }
--- a/core/succession/succession_test.go
+++ b/core/succession/succession_test.go
@@ -16,33 +16,33 @@
 
 func TestMain(m *testing.M) { fixedseed.Main(m) }
 
-func report(id string, term, offset int, leaving bool) succession.Report {
+func report(id string, term, offset int, leaving bool) succession.CandidateStatus {
 	p := logpos.Position{Term: logpos.Term(term), Offset: logpos.Offset(offset)}
-	return succession.Report{ID: id, Leaving: leaving, Status: statement.Status{Received: p}}
+	return succession.CandidateStatus{ID: id, Leaving: leaving, Status: statement.Status{Received: p}}
 }
 
 func TestChoosesMostAdvancedLog(t *testing.T) {
-	got, ok := succession.ChooseCandidate([]succession.Report{report("a", 3, 10, false), report("b", 3, 12, true)}, 2, 0)
+	got, ok := succession.ChooseCandidate([]succession.CandidateStatus{report("a", 3, 10, false), report("b", 3, 12, true)}, 2, 0)
 	require.True(t, ok)
 	require.Equal(t, "b", got.ID, "entries after the shorter log would be lost")
-	got, _ = succession.ChooseCandidate([]succession.Report{report("a", 4, 2, false), report("b", 3, 12, false)}, 2, 0)
+	got, _ = succession.ChooseCandidate([]succession.CandidateStatus{report("a", 4, 2, false), report("b", 3, 12, false)}, 2, 0)
 	require.Equal(t, "a", got.ID, "a newer term takes precedence over a longer log")
-	got, _ = succession.ChooseCandidate([]succession.Report{report("a", 3, 12, true), report("b", 3, 12, false)}, 2, 0)
+	got, _ = succession.ChooseCandidate([]succession.CandidateStatus{report("a", 3, 12, true), report("b", 3, 12, false)}, 2, 0)
 	require.Equal(t, "b", got.ID, "among equal logs, a leaving member is not preferred")
 }
 
-func TestNoReportsGiveNoCandidate(t *testing.T) {
+func TestNoCandidateWithoutAnswers(t *testing.T) {
 	_, ok := succession.ChooseCandidate(nil, 2, 0)
 	require.False(t, ok)
 }
 
 // TestAcknowledgedCommitSurvives: if every acknowledged commit is on
-// syncReplicas replicas, the candidate holds all acknowledged commits.
+// syncReplicas replicas, the chosen candidate has all acknowledged commits.
 func TestAcknowledgedCommitSurvives(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		replicas := rapid.IntRange(1, 5).Draw(t, "replicas")
 		sync := rapid.IntRange(1, replicas).Draw(t, "sync")
-		reports := make([]succession.Report, replicas)
+		reports := make([]succession.CandidateStatus, replicas)
 		for i := range reports {
 			reports[i] = report(string(rune('a'+i)), 1, rapid.IntRange(0, 20).Draw(t, "offset"), rapid.Bool().Draw(t, "leaving"))
 		}
@@ -52,7 +52,7 @@
 			offsets[i] = int(r.Status.Received.Offset)
 		}
 		acknowledged := nthHighest(offsets, sync)
-		var answered []succession.Report
+		var answered []succession.CandidateStatus
 		for _, r := range reports {
 			if rapid.Bool().Draw(t, "answers") {
 				answered = append(answered, r)
@@ -118,17 +118,17 @@
 	var tracker succession.PrimaryTracker
 	tracker.ObserveClaim("a", 5)
 	require.Equal(t, "a", tracker.Primary())
-	tracker.ObserveProof("b", 3)
+	tracker.ConfirmLeadership("b", 3)
 	require.Equal(t, "b", tracker.Primary())
 	tracker.ObserveClaim("a", 5)
 	require.Equal(t, "b", tracker.Primary(), "a claim of the same revision is ignored")
-	tracker.ObserveProof("a", 2)
-	require.Equal(t, "b", tracker.Primary(), "a late proof of an older term is ignored")
+	tracker.ConfirmLeadership("a", 2)
+	require.Equal(t, "b", tracker.Primary(), "a delayed confirmation of an older term is ignored")
 	tracker.ObserveDenial("a")
 	require.Equal(t, "b", tracker.Primary())
 	tracker.ObserveDenial("b")
 	require.Empty(t, tracker.Primary())
-	tracker.ObservePeerProof("b", 3)
+	tracker.ObservePeerConfirmation("b", 3)
 	require.Empty(t, tracker.Primary(), "the other host may not know of the denial yet")
 	tracker.ObserveClaim("c", 9)
 	require.Equal(t, "c", tracker.Primary())
@@ -136,36 +136,36 @@
 	require.Empty(t, tracker.Primary())
 }
 
-// TestDeniedClaimRestoresProvenPrimary covers a stale directory entry, written
+// TestDeniedClaimRestoresConfirmedPrimary covers a stale directory entry, written
 // late by the store, of a member that no longer exists and claims to be the
 // primary.
-func TestDeniedClaimRestoresProvenPrimary(t *testing.T) {
+func TestDeniedClaimRestoresConfirmedPrimary(t *testing.T) {
 	var tracker succession.PrimaryTracker
-	tracker.ObserveProof("a", 3)
+	tracker.ConfirmLeadership("a", 3)
 	tracker.ObserveClaim("gone", 20)
-	require.Equal(t, "gone", tracker.Primary(), "a newer claim is accepted before its proof")
+	require.Equal(t, "gone", tracker.Primary(), "a newer claim is accepted before it is confirmed")
 	tracker.ObserveDenial("gone")
 	require.Equal(t, "a", tracker.Primary())
 	tracker.ObserveClaim("gone", 21)
 	tracker.ObserveDenial("a")
 	tracker.ObserveDenial("gone")
-	require.Empty(t, tracker.Primary(), "a denial invalidates the proof")
+	require.Empty(t, tracker.Primary(), "a denial ends the confirmation")
 }
 
-// TestPeerProofGivesPrimaryToHostWithoutOne: a host without a connection to the
-// primary learns of it only from other hosts.
-func TestPeerProofGivesPrimaryToHostWithoutOne(t *testing.T) {
+// TestPeerConfirmationGivesPrimaryToHostWithoutOne: a host without a connection
+// to the primary learns of it only from other hosts.
+func TestPeerConfirmationGivesPrimaryToHostWithoutOne(t *testing.T) {
 	var tracker succession.PrimaryTracker
-	tracker.ObservePeerProof("a", 3)
+	tracker.ObservePeerConfirmation("a", 3)
 	require.Equal(t, "a", tracker.Primary())
-	tracker.ObservePeerProof("b", 3)
+	tracker.ObservePeerConfirmation("b", 3)
 	require.Equal(t, "a", tracker.Primary())
-	tracker.ObservePeerProof("c", 4)
+	tracker.ObservePeerConfirmation("c", 4)
 	require.Equal(t, "c", tracker.Primary())
 	tracker.ObserveClaim("gone", 9)
 	tracker.ObserveResignation("c")
 	tracker.ObserveDenial("gone")
 	require.Empty(t, tracker.Primary())
-	tracker.ObservePeerProof("c", 4)
+	tracker.ObservePeerConfirmation("c", 4)
 	require.Equal(t, "c", tracker.Primary())
 }
--- a/core/succession/voter_set_test.go
+++ b/core/succession/voter_set_test.go
@@ -53,17 +53,17 @@
 			for s := range size.services {
 				sets = append(sets, succession.NewVoterSet(fmt.Sprint("svc-", s)))
 			}
-			askAll := func(f gates.Fleet) {
+			queryAll := func(f gates.Fleet) {
 				for _, set := range sets {
 					set.IsVoter("host-0", f)
 				}
 			}
-			askAll(fleet)
+			queryAll(fleet)
 			for b.Loop() {
 				fleet = fleet.Next(hosts[:size.hosts-1])
-				askAll(fleet)
+				queryAll(fleet)
 				fleet = fleet.Next(hosts)
-				askAll(fleet)
+				queryAll(fleet)
 			}
 		})
 	}
--- a/core/succession/voters.go
+++ b/core/succession/voters.go
@@ -9,8 +9,8 @@
 
 // MaxVoters is the maximum number of hosts that vote on the failure of a
 // primary. Each voter costs a member a connection and the store a write. Voters
-// are selected by hashing, so that they are spread over the fleet and see a
-// network partition as the fleet does.
+// are selected by hashing, so that they are spread over the fleet and a network
+// partition divides them as it divides the fleet.
 const MaxVoters = 9
 
 // RankHosts returns the hosts in their order of responsibility for a service,
--- a/node/cmd/dotterelswitch/platform.go
+++ b/node/cmd/dotterelswitch/platform.go
@@ -12,7 +12,7 @@
 	"github.com/rs/zerolog"
 	"github.com/urfave/cli/v3"
 
-	"github.com/dotterelswitch/dotterelswitch/core/mechanism"
+	"github.com/dotterelswitch/dotterelswitch/core/feature"
 	"github.com/dotterelswitch/dotterelswitch/node/entry"
 	"github.com/dotterelswitch/dotterelswitch/node/eventlog"
 	"github.com/dotterelswitch/dotterelswitch/node/exit"
@@ -30,8 +30,8 @@
 	workers     int
 	logLevel    string
 	callTimeout time.Duration
-	// disabledMechanisms are turned off to measure their benefit.
-	disabledMechanisms []string
+	// disabledFeatures are disabled to measure their benefit.
+	disabledFeatures []string
 }
 
 func platformCommand() *cli.Command {
@@ -45,13 +45,13 @@
 			&cli.IntFlag{Name: "workers", Usage: "limit of concurrent statements; each uses a goroutine", Value: 4096, Destination: &s.workers, Sources: cli.EnvVars(settings.EnvName("workers"))},
 			&cli.StringFlag{Name: "log-level", Usage: "debug, info, warn or error", Value: "info", Destination: &s.logLevel, Sources: cli.EnvVars(settings.EnvName("log-level"))},
 			&cli.DurationFlag{Name: "platform-timeout", Usage: "timeout of one call to the platform", Value: 1500 * time.Millisecond, Destination: &s.callTimeout, Sources: cli.EnvVars(settings.EnvName("platform-timeout"))},
-			&cli.StringSliceFlag{Name: "without", Usage: "disable a mechanism to measure its benefit; may be repeated", Sources: cli.EnvVars(settings.EnvName("without"))},
+			&cli.StringSliceFlag{Name: "without", Usage: "disable a feature to measure its benefit; may be repeated", Sources: cli.EnvVars(settings.EnvName("without"))},
 		},
 		Action: func(_ context.Context, c *cli.Command) error {
 			if c.Args().Len() > 0 {
 				return &exit.UsageError{Text: "unexpected argument " + c.Args().First()}
 			}
-			s.disabledMechanisms = c.StringSlice("without")
+			s.disabledFeatures = c.StringSlice("without")
 			return runOnPlatform(s)
 		},
 	}
@@ -91,7 +91,7 @@
 	if err != nil {
 		return &exit.UsageError{Text: "--log-level: " + err.Error()}
 	}
-	disabled, err := mechanism.Parse(s.disabledMechanisms)
+	features, err := feature.Parse(s.disabledFeatures)
 	if err != nil {
 		return &exit.UsageError{Text: "--without: " + err.Error()}
 	}
@@ -106,7 +106,7 @@
 	configureGC(boot.MemoryMB)
 	signals := make(chan os.Signal, 4)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT, syscall.SIGHUP)
-	h, err := entry.Start(entrySettings(s, boot, disabled), newAdapter(s, boot), entry.Dial, log)
+	h, err := entry.Start(entrySettings(s, boot, features), newAdapter(s, boot), entry.Dial, log)
 	if err != nil {
 		return err
 	}
@@ -136,13 +136,13 @@
 	})
 }
 
-func entrySettings(s platformSettings, boot platform.Boot, disabled mechanism.Disabled) entry.Settings {
+func entrySettings(s platformSettings, boot platform.Boot, features feature.Set) entry.Settings {
 	out := entry.Settings{
 		Host: boot.Host, Places: replicaset.Topology{Zone: boot.Zone, Regions: boot.Regions},
 		CallerAddress: boot.CallerAddress, ReadinessAddress: boot.ReadyAddress,
 		MaxSessions: max(boot.MaxFileDescriptors-reservedDescriptors, minMaxSessions), Workers: s.workers,
 		GracePeriod: boot.GracePeriod, DrainBound: boot.DrainTimeout, ConfigBound: boot.MaxConfigApplyTime, QuotaTolerance: boot.QuotaTolerance,
-		PeerAddress: net.JoinHostPort(boot.IP, strconv.Itoa(boot.PeerPort)), Disabled: disabled,
+		PeerAddress: net.JoinHostPort(boot.IP, strconv.Itoa(boot.PeerPort)), Features: features,
 	}
 	if s.metricsPort > 0 {
 		out.MetricsAddress = net.JoinHostPort(boot.IP, strconv.Itoa(s.metricsPort))
--- a/node/edge/query.go
+++ b/node/edge/query.go
@@ -126,7 +126,7 @@
 // startOperation runs a statement outside a transaction, or the first statement
 // of a transaction that needs a member.
 func (s *caller) startOperation(set *replicaset.Set, w replicaset.Request) replicaset.Outcome {
-	if s.session.State == statement.Open {
+	if s.session.State == statement.InTransaction {
 		return s.runInTransaction(set, w)
 	}
 	if w.Statement.Writes() {
@@ -187,7 +187,7 @@
 	default:
 		s.session.Wrote = s.session.Wrote || w.Statement.Writes()
 		out.Answer = s.tx.Do(s.ctx, w)
-		if out.Answer.State != statement.Open {
+		if out.Answer.State != statement.InTransaction {
 			out.Answer = s.failStatement(out.Answer)
 		}
 	}
--- a/node/entry/entry.go
+++ b/node/entry/entry.go
@@ -17,8 +17,8 @@
 	"golang.org/x/sync/singleflight"
 
 	"github.com/dotterelswitch/dotterelswitch/core/catalog"
+	"github.com/dotterelswitch/dotterelswitch/core/feature"
 	"github.com/dotterelswitch/dotterelswitch/core/gates"
-	"github.com/dotterelswitch/dotterelswitch/core/mechanism"
 	"github.com/dotterelswitch/dotterelswitch/core/quota"
 	"github.com/dotterelswitch/dotterelswitch/core/startup"
 	"github.com/dotterelswitch/dotterelswitch/node/clock"
@@ -65,8 +65,8 @@
 	ConfigBound time.Duration
 	// QuotaTolerance is by how much teams may exceed their limits.
 	QuotaTolerance quota.Tolerance
-	// Disabled lists the mechanisms that are switched off.
-	Disabled mechanism.Disabled
+	// Features has the disabled features of the host.
+	Features feature.Set
 }
 
 // Host is one running entry host.
@@ -124,7 +124,7 @@
 	h.registry = registry.New(registry.Config{
 		Store: registry.NewCountingStore(a.Store, h.recordStoreCall), Documents: a.Documents,
 		Self:               gates.Host{Name: s.Host, Zone: s.Places.Zone, Address: s.PeerAddress},
-		MaxConfigApplyTime: s.ConfigBound, FollowHost: h.gates.Follow, FetchConfig: h.gates.Configuration, Disabled: s.Disabled, Changed: h.wakeReconcile, Log: h.log,
+		MaxConfigApplyTime: s.ConfigBound, FollowHost: h.gates.Follow, FetchConfig: h.gates.Configuration, Features: s.Features, Changed: h.wakeReconcile, Log: h.log,
 	})
 	h.limiter = limits.New(limits.Config{Self: quota.Host{Name: s.Host, Region: s.Places.Region(s.Places.Zone)}, Tolerance: s.QuotaTolerance, RequestGrant: h.requestGrant, Limit: h.limitOf, RegisteredAtStart: h.registry.RegisteredAtStart})
 	if err := h.listen(); err != nil {
@@ -178,7 +178,7 @@
 	case err := <-h.failed:
 		return err
 	}
-	eventlog.Started.Info(h.log).Str("listen", h.settings.CallerAddress).Str("zone", h.settings.Places.Zone).Strs("without", h.settings.Disabled.Names()).Send()
+	eventlog.Started.Info(h.log).Str("listen", h.settings.CallerAddress).Str("zone", h.settings.Places.Zone).Strs("without", h.settings.Features.Disabled()).Send()
 	return nil
 }
 
@@ -289,11 +289,11 @@
 	s := replicaset.New(replicaset.Config{
 		Service: service, Dial: h.dial, Proto: h.adapter.Members, Topology: h.settings.Places,
 		DrainTimeout: h.settings.DrainBound, RequestFloor: h.queryPeersForFloor, OnSuspect: func() { p.Wake() },
-		Remote: h.remote(), Owner: h.owner, Host: h.settings.Host, Disabled: h.settings.Disabled, Log: h.log,
+		Remote: h.remote(), Owner: h.owner, Host: h.settings.Host, Features: h.settings.Features, Log: h.log,
 	})
 	p = promoter.New(promoter.Config{
 		Service: service, Host: h.settings.Host, Set: s, Registry: h.registry, Platform: h.adapter.Promotion, Peers: h,
-		Disabled: h.settings.Disabled,
+		Features: h.settings.Features,
 		Spec:     func() catalog.Service { return h.registry.Catalog().Services[service] },
 		Observe:  func(r promoter.Result) { h.metrics.promotion(service, r) }, Log: h.log,
 	})
--- a/node/entry/peers.go
+++ b/node/entry/peers.go
@@ -8,7 +8,7 @@
 	"slices"
 	"time"
 
-	"github.com/dotterelswitch/dotterelswitch/core/mechanism"
+	"github.com/dotterelswitch/dotterelswitch/core/feature"
 	"github.com/dotterelswitch/dotterelswitch/core/store"
 	"github.com/dotterelswitch/dotterelswitch/node/clock"
 	"github.com/dotterelswitch/dotterelswitch/node/eventlog"
@@ -52,7 +52,7 @@
 		return replicaset.Result{Err: &replicaset.RefusedError{Reason: "the service is not known here"}}
 	}
 	res := s.Execute(ctx, j)
-	if h.settings.Disabled.Enabled(mechanism.RefusalFloors) {
+	if h.settings.Features.Enabled(feature.RefusalFloors) {
 		res.Floor, _ = s.Floor()
 	}
 	if res.Err == nil {
@@ -125,7 +125,7 @@
 // queryPeersForFloor starts queries for the floor of a service to other hosts and
 // returns immediately.
 func (h *Host) queryPeersForFloor(service string) {
-	if !h.settings.Disabled.Enabled(mechanism.PeerFloors) {
+	if !h.settings.Features.Enabled(feature.PeerFloors) {
 		return
 	}
 	for _, address := range h.floorPeers(service) {
--- a/node/entry/promotion_peers.go
+++ b/node/entry/promotion_peers.go
@@ -22,20 +22,20 @@
 func (h *Host) AddressOf(host string) (string, bool) { return h.registry.AddressOf(host) }
 
 // Opinion implements promoter.Peers.
-func (h *Host) Opinion(ctx context.Context, service, primary, host string) (succession.Opinion, bool) {
+func (h *Host) Opinion(ctx context.Context, service, primary, host string) (succession.PeerReport, bool) {
 	address, known := h.registry.AddressOf(host)
 	if !known {
-		return succession.Opinion{}, false
+		return succession.PeerReport{}, false
 	}
 	h.traffic.add(trafficOpinion)
 	answer, err := h.peers.Probe(ctx, address, gossip.Message{AskLost: &gossip.LostQuestion{Service: service, Upstream: primary}})
 	if err != nil || answer.Opinion == nil {
 		// A host that does not answer has no vote; the promoter asks again.
 		h.log.Debug().Err(err).Str("peer", host).Msg("opinion request failed")
-		return succession.Opinion{}, false
+		return succession.PeerReport{}, false
 	}
 	o := answer.Opinion
-	return succession.Opinion{Host: host, Dead: o.Dead, Reaches: o.Reaches, StoreReached: o.StoreReached, Lock: o.Lock, Leading: o.Leading}, true
+	return succession.PeerReport{Host: host, Dead: o.Dead, Reaches: o.Reaches, StoreReached: o.StoreReached, Lock: o.Lock, Leading: o.Leading}, true
 }
 
 // Announce implements promoter.Peers.
--- a/node/entry/startup.go
+++ b/node/entry/startup.go
@@ -5,8 +5,8 @@
 	"time"
 
 	"github.com/dotterelswitch/dotterelswitch/core/catalog"
+	"github.com/dotterelswitch/dotterelswitch/core/feature"
 	"github.com/dotterelswitch/dotterelswitch/core/gates"
-	"github.com/dotterelswitch/dotterelswitch/core/mechanism"
 	"github.com/dotterelswitch/dotterelswitch/core/startup"
 	"github.com/dotterelswitch/dotterelswitch/node/clock"
 	"github.com/dotterelswitch/dotterelswitch/node/eventlog"
@@ -19,7 +19,7 @@
 
 // AwaitCatalog implements edge.Backend.
 func (h *Host) AwaitCatalog(ctx context.Context) *catalog.Catalog {
-	if !h.settings.Disabled.Enabled(mechanism.StartupWait) {
+	if !h.settings.Features.Enabled(feature.StartupWait) {
 		return h.registry.Catalog()
 	}
 	return awaitStartup(ctx, startup.LoginDeadline(h.startedAt, clock.Now()), h.registry.Catalog)
@@ -45,7 +45,7 @@
 // members' connections among the hosts. Until then statements wait for their set,
 // and reconcile is scheduled for the expected time of stability.
 func (h *Host) fleetStable(hosts []gates.Host) bool {
-	if h.fleetWasStable || !h.settings.Disabled.Enabled(mechanism.FleetWait) {
+	if h.fleetWasStable || !h.settings.Features.Enabled(feature.FleetWait) {
 		return true
 	}
 	now := clock.Now()
--- a/node/gateway/exchange.go
+++ b/node/gateway/exchange.go
@@ -109,7 +109,7 @@
 // commit a change.
 func (s *session) writeEffects(ex exchange) (needsPrimary, mayCommit bool) {
 	if s.pinnedTx != nil {
-		return false, ex.statement.Count > 1 || (ex.kind == classify.End && ex.statement.Words[0] != "ROLLBACK" && ex.statement.Words[0] != "ABORT")
+		return false, ex.statement.Count > 1 || (ex.kind == classify.End && ex.statement.Tokens[0] != "ROLLBACK" && ex.statement.Tokens[0] != "ABORT")
 	}
 	switch ex.kind {
 	case classify.Read, classify.Show, classify.BeginRead:
--- a/node/gateway/handle.go
+++ b/node/gateway/handle.go
@@ -79,7 +79,7 @@
 	case classify.Set:
 		s.set(sql)
 	case classify.Show:
-		return s.show(st.Words, sql)
+		return s.show(st.Tokens, sql)
 	case classify.End:
 		s.sendReady(encode(nil, &pgproto3.CommandComplete{CommandTag: []byte("ROLLBACK")}))
 	default:
@@ -89,7 +89,7 @@
 }
 
 func pinningRefusal(st classify.Statement) *outcome.Refusal {
-	return outcome.Refuse(outcome.Unsupported, "%s leaves state on the connection, which pooled connections do not keep", st.Words[0])
+	return outcome.Refuse(outcome.Unsupported, "%s leaves state on the connection, which pooled connections do not keep", st.Tokens[0])
 }
 
 // answerInFailedTransaction answers a statement after the transaction's upstream
--- a/node/promoter/ask.go
+++ b/node/promoter/ask.go
@@ -92,12 +92,12 @@
 
 // Opinion answers another host's question about a primary. A host that does not
 // consider the primary dead starts a check of its own.
-func (p *Promoter) Opinion(ctx context.Context, incarnation string) succession.Opinion {
+func (p *Promoter) Opinion(ctx context.Context, incarnation string) succession.PeerReport {
 	now := clock.Now()
 	p.mu.Lock()
 	p.askedUntil = now + questionTTL
 	p.mu.Unlock()
-	o := succession.Opinion{
+	o := succession.PeerReport{
 		Host: p.host, StoreReached: !p.registry.Away(), Lock: p.registry.LockOf(p.service).Token(),
 		Dead: p.hasLost(incarnation, now) && !p.wasSuspended(now), Reaches: p.reaches(incarnation, now), Leading: p.leading.Load(),
 	}
--- a/node/promoter/collect_reports.go
+++ b/node/promoter/collect_reports.go
@@ -8,7 +8,7 @@
 
 // orderResult is a replica's answer to an order, or the failure to get one.
 type orderResult struct {
-	report succession.Report
+	report succession.CandidateStatus
 	failed bool
 }
 
@@ -21,8 +21,8 @@
 // collectReports collects the answers to an order. If oneSuffices is set, it
 // stops waiting surveyGracePeriod after the first answer. The channel must have
 // capacity for all answers, because late ones are not read.
-func collectReports(results <-chan orderResult, asked int, oneSuffices bool) []succession.Report {
-	var reports []succession.Report
+func collectReports(results <-chan orderResult, asked int, oneSuffices bool) []succession.CandidateStatus {
+	var reports []succession.CandidateStatus
 	var graceOver <-chan time.Time
 	for pending := asked; pending > 0; pending-- {
 		select {
--- a/node/promoter/collect_reports_test.go
+++ b/node/promoter/collect_reports_test.go
@@ -14,7 +14,7 @@
 func answerAfter(results chan<- orderResult, d time.Duration, id string, failed bool) {
 	go func() {
 		time.Sleep(d)
-		results <- orderResult{report: succession.Report{ID: id}, failed: failed}
+		results <- orderResult{report: succession.CandidateStatus{ID: id}, failed: failed}
 	}()
 }
 
--- a/node/promoter/detour.go
+++ b/node/promoter/detour.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"github.com/dotterelswitch/dotterelswitch/core/mechanism"
+	"github.com/dotterelswitch/dotterelswitch/core/feature"
 	"github.com/dotterelswitch/dotterelswitch/core/succession"
 )
 
@@ -11,7 +11,7 @@
 // through hosts that reach it. It serves partitions that cut the primary off from
 // too few hosts to replace it.
 func (p *Promoter) detour(primary string, now time.Duration) {
-	if primary == "" || primary == noPrimary || !p.disabled.Enabled(mechanism.Detours) {
+	if primary == "" || primary == noPrimary || !p.features.Enabled(feature.Detours) {
 		return
 	}
 	p.mu.Lock()
--- a/node/promoter/evidence.go
+++ b/node/promoter/evidence.go
@@ -5,7 +5,7 @@
 	"slices"
 	"time"
 
-	"github.com/dotterelswitch/dotterelswitch/core/mechanism"
+	"github.com/dotterelswitch/dotterelswitch/core/feature"
 	"github.com/dotterelswitch/dotterelswitch/core/succession"
 	"github.com/dotterelswitch/dotterelswitch/node/eventlog"
 )
@@ -130,7 +130,7 @@
 	p.mu.Lock()
 	hosts := succession.HostsSuspecting(p.opinions.Current(incarnation, now))
 	p.mu.Unlock()
-	if !p.disabled.Enabled(mechanism.DirectVotes) {
+	if !p.features.Enabled(feature.DirectVotes) {
 		hosts = nil
 	}
 	for _, host := range p.registry.Suspecting(p.service, incarnation) {
--- a/node/promoter/lead.go
+++ b/node/promoter/lead.go
@@ -5,7 +5,7 @@
 	"slices"
 	"time"
 
-	"github.com/dotterelswitch/dotterelswitch/core/mechanism"
+	"github.com/dotterelswitch/dotterelswitch/core/feature"
 	"github.com/dotterelswitch/dotterelswitch/core/succession"
 	"github.com/dotterelswitch/dotterelswitch/node/clock"
 	"github.com/dotterelswitch/dotterelswitch/node/eventlog"
@@ -25,7 +25,7 @@
 	opinions := p.opinions.Current(incarnation, now)
 	p.mu.Unlock()
 	storeAway := p.registry.Away()
-	mayLead := !backingOff && holds && p.disabled.Enabled(mechanism.StandingLeader) && succession.MayLead(p.host, lock, !storeAway, opinions)
+	mayLead := !backingOff && holds && p.features.Enabled(feature.StandingLeader) && succession.MayLead(p.host, lock, !storeAway, opinions)
 	p.leading.Store(mayLead)
 	switch {
 	case mayLead:
@@ -42,7 +42,7 @@
 	rank := p.takeoverRank(lock.Holder)
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	vacant := lock.Holder == "" || lock.Holder == p.host || !p.disabled.Enabled(mechanism.StandingLeader)
+	vacant := lock.Holder == "" || lock.Holder == p.host || !p.features.Enabled(feature.StandingLeader)
 	return succession.EarliestStart(rank, vacant, p.readySince, p.leaderSeenAt)
 }
 
--- a/node/promoter/primary_report_test.go
+++ b/node/promoter/primary_report_test.go
@@ -45,9 +45,9 @@
 // countingPeers counts the questions to other hosts.
 type countingPeers struct{ questions atomic.Int64 }
 
-func (p *countingPeers) Opinion(context.Context, string, string, string) (succession.Opinion, bool) {
+func (p *countingPeers) Opinion(context.Context, string, string, string) (succession.PeerReport, bool) {
 	p.questions.Add(1)
-	return succession.Opinion{}, false
+	return succession.PeerReport{}, false
 }
 func (p *countingPeers) AddressOf(string) (string, bool)      { return "", false }
 func (p *countingPeers) Announce(string, string, logpos.Term) {}
--- a/node/promoter/promoter.go
+++ b/node/promoter/promoter.go
@@ -13,8 +13,8 @@
 	"github.com/rs/zerolog"
 
 	"github.com/dotterelswitch/dotterelswitch/core/catalog"
+	"github.com/dotterelswitch/dotterelswitch/core/feature"
 	"github.com/dotterelswitch/dotterelswitch/core/logpos"
-	"github.com/dotterelswitch/dotterelswitch/core/mechanism"
 	"github.com/dotterelswitch/dotterelswitch/core/store"
 	"github.com/dotterelswitch/dotterelswitch/core/succession"
 	"github.com/dotterelswitch/dotterelswitch/node/clock"
@@ -46,7 +46,7 @@
 type Peers interface {
 	// Opinion asks a host whether it considers a primary dead. It reports false
 	// if the host does not answer in time.
-	Opinion(ctx context.Context, service, primary, host string) (succession.Opinion, bool)
+	Opinion(ctx context.Context, service, primary, host string) (succession.PeerReport, bool)
 	// AddressOf returns the address at which a host accepts forwarded statements.
 	AddressOf(host string) (string, bool)
 	// Announce sends the new primary to all hosts without waiting for them.
@@ -81,7 +81,7 @@
 	peers    Peers
 	spec     func() catalog.Service
 	observe  func(Result)
-	disabled mechanism.Disabled
+	features feature.Set
 	log      zerolog.Logger
 
 	// wake triggers a check of the group, storeWake a synchronization with the
@@ -124,7 +124,7 @@
 	// newestToken is the newest token that this host has acquired since it
 	// started.
 	newestToken uint64
-	opinions    succession.Opinions
+	opinions    succession.PeerReports
 	// askedAt is when each host was last asked for its opinion.
 	askedAt map[string]time.Duration
 	// leaderSeenAt is when the lock holder last reported that it leads a
@@ -143,8 +143,8 @@
 	Spec func() catalog.Service
 	// Observe receives the result of each promotion that this host has led.
 	Observe func(Result)
-	// Disabled lists the mechanisms that are switched off on this host.
-	Disabled mechanism.Disabled
+	// Features has the disabled features of the host.
+	Features feature.Set
 	Log      zerolog.Logger
 }
 
@@ -152,7 +152,7 @@
 func New(cfg Config) *Promoter {
 	return &Promoter{
 		service: cfg.Service, host: cfg.Host, set: cfg.Set, registry: cfg.Registry, platform: cfg.Platform, peers: cfg.Peers,
-		spec: cfg.Spec, observe: cfg.Observe, disabled: cfg.Disabled, log: cfg.Log.With().Str("service", cfg.Service).Logger(),
+		spec: cfg.Spec, observe: cfg.Observe, features: cfg.Features, log: cfg.Log.With().Str("service", cfg.Service).Logger(),
 		wake: make(chan struct{}, 1), storeWake: make(chan struct{}, 1), askedAt: map[string]time.Duration{},
 	}
 }
--- a/node/promoter/replace.go
+++ b/node/promoter/replace.go
@@ -6,8 +6,8 @@
 	"fmt"
 	"time"
 
+	"github.com/dotterelswitch/dotterelswitch/core/feature"
 	"github.com/dotterelswitch/dotterelswitch/core/logpos"
-	"github.com/dotterelswitch/dotterelswitch/core/mechanism"
 	"github.com/dotterelswitch/dotterelswitch/core/statement"
 	"github.com/dotterelswitch/dotterelswitch/core/succession"
 	"github.com/dotterelswitch/dotterelswitch/node/clock"
@@ -75,8 +75,8 @@
 // survey pauses replication on the replicas and returns their positions, which
 // cannot change afterwards. The first order already carries a guessed term:
 // asking for the current term first would cost another round trip.
-func (p *Promoter) survey(ctx context.Context, failed string) ([]succession.Report, error) {
-	var reports []succession.Report
+func (p *Promoter) survey(ctx context.Context, failed string) ([]succession.CandidateStatus, error) {
+	var reports []succession.CandidateStatus
 	leading := map[string]bool{}
 	newest := p.set.Term()
 	for range maxSurveyRounds {
@@ -122,7 +122,7 @@
 
 // orderReplicas sends an order to all members except one and collects the
 // answers.
-func (p *Promoter) orderReplicas(ctx context.Context, failed string, order func(id string) statement.Operation) []succession.Report {
+func (p *Promoter) orderReplicas(ctx context.Context, failed string, order func(id string) statement.Operation) []succession.CandidateStatus {
 	members := p.set.Members()
 	results := make(chan orderResult, len(members))
 	asked := 0
@@ -136,14 +136,14 @@
 			if err != nil {
 				eventlog.GroupCommandFailed.Info(p.log).Err(err).Str("upstream", m.ID()).Str("order", "survey").Send()
 			}
-			results <- orderResult{report: succession.Report{ID: m.ID(), Leaving: m.Leaving(), Status: st}, failed: err != nil}
+			results <- orderResult{report: succession.CandidateStatus{ID: m.ID(), Leaving: m.Leaving(), Status: st}, failed: err != nil}
 		}()
 	}
 	return collectReports(results, asked, p.spec().SyncReplicas == 0)
 }
 
 // resume restarts replication on paused replicas.
-func (p *Promoter) resume(ctx context.Context, reports []succession.Report) {
+func (p *Promoter) resume(ctx context.Context, reports []succession.CandidateStatus) {
 	for _, r := range reports {
 		if m, known := p.set.Member(r.ID); known {
 			if _, err := p.set.SendControl(ctx, m, statement.Operation{Verb: statement.ResumeReplication}); err != nil {
@@ -154,7 +154,7 @@
 }
 
 // promote orders a promotion and waits until the member is primary.
-func (p *Promoter) promote(ctx context.Context, chosen succession.Report, token uint64) error {
+func (p *Promoter) promote(ctx context.Context, chosen succession.CandidateStatus, token uint64) error {
 	started := clock.Now()
 	eventlog.PromotionOrdered.Info(p.log).Str("upstream", chosen.ID).Uint64("token", token).Stringer("received", chosen.Status.Received).Send()
 	if err := p.callPromote(ctx, chosen.ID, token); err != nil {
@@ -163,7 +163,7 @@
 	if err := p.awaitNewPrimary(ctx, chosen.ID); err != nil {
 		return err
 	}
-	if p.disabled.Enabled(mechanism.Announcement) {
+	if p.features.Enabled(feature.Announcement) {
 		p.peers.Announce(p.service, chosen.ID, p.set.Term())
 	}
 	eventlog.Promoted.Info(p.log).Str("upstream", chosen.ID).Uint64("token", token).
@@ -247,7 +247,7 @@
 	if !complete {
 		// The old primary stays primary if no replica has the complete log; a
 		// later attempt may find one that has caught up.
-		chosen = succession.Report{ID: id, Status: st}
+		chosen = succession.CandidateStatus{ID: id, Status: st}
 	}
 	return p.promote(ctx, chosen, token)
 }
@@ -271,7 +271,7 @@
 
 // awaitFullLog waits until a remaining replica has received the log up to its
 // end.
-func (p *Promoter) awaitFullLog(ctx context.Context, old string, end logpos.Position) (succession.Report, bool) {
+func (p *Promoter) awaitFullLog(ctx context.Context, old string, end logpos.Position) (succession.CandidateStatus, bool) {
 	deadline := clock.Now() + fullLogTimeout
 	for clock.Now() < deadline && ctx.Err() == nil {
 		for _, r := range p.remainingReplicas(ctx, old) {
@@ -281,12 +281,12 @@
 		}
 		time.Sleep(catchUpPollInterval)
 	}
-	return succession.Report{}, false
+	return succession.CandidateStatus{}, false
 }
 
 // remainingReplicas returns the status of the replicas that are not draining.
-func (p *Promoter) remainingReplicas(ctx context.Context, old string) []succession.Report {
-	var out []succession.Report
+func (p *Promoter) remainingReplicas(ctx context.Context, old string) []succession.CandidateStatus {
+	var out []succession.CandidateStatus
 	for _, r := range p.orderReplicas(ctx, old, sameOrder(statement.Operation{Verb: statement.ReportStatus})) {
 		if !r.Leaving {
 			out = append(out, r)
--- a/node/registry/apply.go
+++ b/node/registry/apply.go
@@ -165,7 +165,7 @@
 	switch {
 	case r.directory.Put(e, now):
 		return routingChanged
-	case r.directory.StartTimeDisputed(id):
+	case r.directory.HasEarlierStartTime(id):
 		// An earlier start time is accepted only after two entries in a row, so followers
 		// need both.
 		return stateChanged
--- a/node/registry/registry.go
+++ b/node/registry/registry.go
@@ -13,8 +13,8 @@
 
 	"github.com/dotterelswitch/dotterelswitch/core/catalog"
 	"github.com/dotterelswitch/dotterelswitch/core/directory"
+	"github.com/dotterelswitch/dotterelswitch/core/feature"
 	"github.com/dotterelswitch/dotterelswitch/core/gates"
-	"github.com/dotterelswitch/dotterelswitch/core/mechanism"
 	"github.com/dotterelswitch/dotterelswitch/core/relay"
 	"github.com/dotterelswitch/dotterelswitch/core/roster"
 	"github.com/dotterelswitch/dotterelswitch/core/store"
@@ -52,7 +52,7 @@
 	watchWait time.Duration
 	// followHost receives changes from a relay; nil disables relays.
 	followHost FollowFunc
-	disabled   mechanism.Disabled
+	features   feature.Set
 	// fetchConfig fetches the configuration of another host; nil disables it.
 	fetchConfig FetchConfigFunc
 	// lastAnswered records the latest call that the store has answered.
@@ -131,7 +131,7 @@
 	FollowHost FollowFunc
 	// FetchConfig fetches the configuration of another host; nil disables it.
 	FetchConfig FetchConfigFunc
-	Disabled    mechanism.Disabled
+	Features    feature.Set
 	// Changed is called, without a lock, after each change.
 	Changed func()
 	Log     zerolog.Logger
@@ -143,11 +143,11 @@
 		wait = defaultWatchWait
 	}
 	followHost := cfg.FollowHost
-	if !cfg.Disabled.Enabled(mechanism.Relays) {
+	if !cfg.Features.Enabled(feature.Relays) {
 		followHost = nil
 	}
 	return &Registry{
-		store: cfg.Store, docs: cfg.Documents, self: cfg.Self, watchWait: wait, followHost: followHost, fetchConfig: cfg.FetchConfig, disabled: cfg.Disabled, changed: cfg.Changed, log: cfg.Log,
+		store: cfg.Store, docs: cfg.Documents, self: cfg.Self, watchWait: wait, followHost: followHost, fetchConfig: cfg.FetchConfig, features: cfg.Features, changed: cfg.Changed, log: cfg.Log,
 		directory: directory.New(), coordination: newCoordinationKeys(), roster: roster.New(), items: map[string]store.Item{}, unreadable: map[string]store.Revision{},
 		relaySelector: relay.New(cfg.Self), direct: true, historyChanged: make(chan struct{}), storeReached: make(chan struct{}, 1), registrationLost: make(chan struct{}, 1),
 	}
--- a/node/registry/run.go
+++ b/node/registry/run.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"github.com/dotterelswitch/dotterelswitch/core/directory"
-	"github.com/dotterelswitch/dotterelswitch/core/mechanism"
+	"github.com/dotterelswitch/dotterelswitch/core/feature"
 	"github.com/dotterelswitch/dotterelswitch/core/membership"
 	"github.com/dotterelswitch/dotterelswitch/core/retry"
 	"github.com/dotterelswitch/dotterelswitch/core/store"
@@ -109,7 +109,7 @@
 	r.mu.Unlock()
 	if !listed {
 		list := r.listAll
-		if first && r.disabled.Enabled(mechanism.HedgedListing) {
+		if first && r.features.Enabled(feature.HedgedListing) {
 			list = r.listHedged
 		}
 		l, err := list(ctx)
--- a/node/replicaset/execute.go
+++ b/node/replicaset/execute.go
@@ -265,7 +265,7 @@
 	case tx.onPrimary && j.Wrote:
 		res = s.writeResult(tx.conn, x)
 	}
-	if j.Kind == JobCommit || x.answer.State != statement.Open {
+	if j.Kind == JobCommit || x.answer.State != statement.InTransaction {
 		s.endTx(tx)
 	}
 	tx.lastUsed = clock.Now()
--- a/node/replicaset/floors.go
+++ b/node/replicaset/floors.go
@@ -60,7 +60,7 @@
 	p, asOf, found := s.floors.Newest()
 	f := Floor{Position: p, AsOf: asOf, Leadership: Leadership{Term: s.floors.Term()}}
 	if s.primaryTracker.Term() == f.Leadership.Term {
-		f.Leadership.Primary = s.primaryTracker.Proven()
+		f.Leadership.Primary = s.primaryTracker.Confirmed()
 	}
 	return f, found
 }
@@ -92,7 +92,7 @@
 func (s *Set) observePeerLeadership(l Leadership) {
 	before := s.primaryTracker.Primary()
 	if _, known := s.members[l.Primary]; known {
-		s.primaryTracker.ObservePeerProof(l.Primary, l.Term)
+		s.primaryTracker.ObservePeerConfirmation(l.Primary, l.Term)
 		s.notifyPrimaryChange(before, "peer")
 	}
 }
--- a/node/replicaset/gate_floor_test.go
+++ b/node/replicaset/gate_floor_test.go
@@ -10,9 +10,9 @@
 
 	"github.com/dotterelswitch/dotterelswitch/core/catalog"
 	"github.com/dotterelswitch/dotterelswitch/core/directory"
+	"github.com/dotterelswitch/dotterelswitch/core/feature"
 	"github.com/dotterelswitch/dotterelswitch/core/gates"
 	"github.com/dotterelswitch/dotterelswitch/core/logpos"
-	"github.com/dotterelswitch/dotterelswitch/core/mechanism"
 	"github.com/dotterelswitch/dotterelswitch/core/statement"
 	"github.com/dotterelswitch/dotterelswitch/node/clock"
 )
@@ -42,12 +42,12 @@
 
 // setWithoutConnections returns the set of a host that keeps no connections and
 // whose latest floor is older than any staleness bound.
-func setWithoutConnections(r Remote, disabledNames ...mechanism.Name) *Set {
-	disabled := mechanism.Disabled{}
+func setWithoutConnections(r Remote, disabledNames ...feature.Name) *Set {
+	features := feature.Set{}
 	for _, n := range disabledNames {
-		disabled[n] = true
+		features[n] = true
 	}
-	s := New(Config{Service: "svc", Remote: r, Host: "h0", Disabled: disabled, Log: zerolog.Nop()})
+	s := New(Config{Service: "svc", Remote: r, Host: "h0", Features: features, Log: zerolog.Nop()})
 	hosts := []gates.Host{{Name: "h0", Zone: "far", Address: "a0"}, {Name: "h1", Zone: "near", Address: "a1"}, {Name: "h2", Zone: "near", Address: "a2"}}
 	member := func(id string) directory.Member {
 		return directory.Member{Entry: directory.Entry{ID: id, Service: "svc", Zone: "near", Slots: 2}}
@@ -93,7 +93,7 @@
 
 func TestGateFloorsDisabled(t *testing.T) {
 	r := &floorRemote{}
-	setWithoutConnections(r, mechanism.GateFloors).Read(context.Background(), boundedRead500ms(time.Second))
+	setWithoutConnections(r, feature.GateFloors).Read(context.Background(), boundedRead500ms(time.Second))
 	require.Zero(t, r.onReplica)
 }
 
--- a/node/replicaset/member.go
+++ b/node/replicaset/member.go
@@ -10,12 +10,12 @@
 	"github.com/dotterelswitch/dotterelswitch/core/balance"
 	"github.com/dotterelswitch/dotterelswitch/core/connpool"
 	"github.com/dotterelswitch/dotterelswitch/core/directory"
+	"github.com/dotterelswitch/dotterelswitch/core/exectime"
+	"github.com/dotterelswitch/dotterelswitch/core/feature"
 	"github.com/dotterelswitch/dotterelswitch/core/gates"
 	"github.com/dotterelswitch/dotterelswitch/core/health"
 	"github.com/dotterelswitch/dotterelswitch/core/logpos"
-	"github.com/dotterelswitch/dotterelswitch/core/mechanism"
 	"github.com/dotterelswitch/dotterelswitch/core/store"
-	"github.com/dotterelswitch/dotterelswitch/core/worktime"
 )
 
 // responseTimeSmoothing is the weight of a new sample in the moving average.
@@ -38,7 +38,7 @@
 	responseTime time.Duration
 	// workTimes tracks execution times by kind of statement, which is its
 	// database.
-	workTimes worktime.Times
+	workTimes exectime.Times
 	removed   bool
 	// position is the latest known end of the member's log, observed at
 	// positionAt.
@@ -76,7 +76,7 @@
 		log:  s.log.With().Str("upstream", e.ID).Logger(),
 		pool: connpool.New(share.Limits), share: share, conns: map[connpool.ConnID]*Conn{}, waiters: map[uint64]chan grant{},
 	}
-	m.health.TimeoutsOnly = !s.disabled.Enabled(mechanism.ObservedSilence)
+	m.health.TimeoutsOnly = !s.features.Enabled(feature.ObservedSilence)
 	return m
 }
 
@@ -108,7 +108,7 @@
 		ID: m.id, Primary: m.id == primary, RoundTrip: m.set.topology.RoundTrip(m.entry.Zone),
 		ResponseTime: m.responseTime, InUse: m.pool.InUse() + m.remoteInFlight, Waiting: m.pool.Waiting(),
 		HasIdleConn: m.pool.Idle() > 0 || len(m.share.GateAddresses) > 0,
-		Slots:       m.entry.Slots, Suspect: m.health.Suspect(now), Unregistered: m.entry.Missing,
+		Slots:       m.entry.Slots, Suspect: m.health.Suspect(now), EntryMissing: m.entry.Missing,
 	}
 }
 
--- a/node/replicaset/member_health.go
+++ b/node/replicaset/member_health.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"github.com/dotterelswitch/dotterelswitch/core/mechanism"
+	"github.com/dotterelswitch/dotterelswitch/core/feature"
 	"github.com/dotterelswitch/dotterelswitch/core/statement"
 	"github.com/dotterelswitch/dotterelswitch/node/clock"
 	"github.com/dotterelswitch/dotterelswitch/node/eventlog"
@@ -143,8 +143,8 @@
 		return m.detours
 	case now < m.reportedDeadUntil && m.recentlyReached(now):
 		return nil
-	case team != "" && m.set.disabled.Enabled(mechanism.TeamGates):
-		return m.share.RouteOf(team, m.id, m.set.host)
+	case team != "" && m.set.features.Enabled(feature.TeamGates):
+		return m.share.GateRoute(team, m.id, m.set.host)
 	}
 	return m.share.GateAddresses
 }
--- a/node/replicaset/member_pool.go
+++ b/node/replicaset/member_pool.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"github.com/dotterelswitch/dotterelswitch/core/connpool"
-	"github.com/dotterelswitch/dotterelswitch/core/mechanism"
+	"github.com/dotterelswitch/dotterelswitch/core/feature"
 	"github.com/dotterelswitch/dotterelswitch/core/statement"
 	"github.com/dotterelswitch/dotterelswitch/node/clock"
 	"github.com/dotterelswitch/dotterelswitch/node/eventlog"
@@ -54,8 +54,8 @@
 	now := clock.Now()
 	m.nextID++
 	w.ID = m.nextID
-	if m.set.disabled.Enabled(mechanism.ShortFirst) {
-		w.ExtraTime = m.workTimes.ExtraTime(w.Kind, now)
+	if m.set.features.Enabled(feature.ShortFirst) {
+		w.ExtraExecutionTime = m.workTimes.ExtraExecutionTime(w.Kind, now)
 	}
 	decision := m.pool.Acquire(*w, now)
 	switch decision.Outcome {
@@ -266,7 +266,7 @@
 
 // closeIdle closes all idle connections. It is called with mu held.
 func (m *Member) closeIdle() {
-	for _, id := range m.pool.DropIdle() {
+	for _, id := range m.pool.RemoveAllIdle() {
 		m.conns[id].close()
 		delete(m.conns, id)
 	}
--- a/node/replicaset/pick_reader.go
+++ b/node/replicaset/pick_reader.go
@@ -7,8 +7,8 @@
 	"github.com/dotterelswitch/dotterelswitch/core/balance"
 	"github.com/dotterelswitch/dotterelswitch/core/catalog"
 	"github.com/dotterelswitch/dotterelswitch/core/catchup"
+	"github.com/dotterelswitch/dotterelswitch/core/feature"
 	"github.com/dotterelswitch/dotterelswitch/core/logpos"
-	"github.com/dotterelswitch/dotterelswitch/core/mechanism"
 	"github.com/dotterelswitch/dotterelswitch/core/membership"
 	"github.com/dotterelswitch/dotterelswitch/node/clock"
 )
@@ -49,7 +49,7 @@
 	for _, c := range candidates {
 		switch {
 		case c.Primary || c.Lagging:
-		case c.Suspect || c.Unregistered:
+		case c.Suspect || c.EntryMissing:
 			source = max(source, PrimaryReplicasSuspect)
 		default:
 			source = PrimaryFaster
@@ -104,7 +104,7 @@
 		return nil, false
 	}
 	readers := s.rankReaders(a.request.Team, progress.attempted, floor, now)
-	if len(readers) > 0 && readers[0].Usable() {
+	if len(readers) > 0 && readers[0].Healthy() {
 		return s.Member(readers[0].ID)
 	}
 	if m, found := a.awaitReplica(ctx, progress, floor, now); found {
@@ -122,12 +122,12 @@
 // hosts and asks for a floor once for all of them.
 func (a *attempts) gateBoundedReader(progress *readProgress) (*Member, bool) {
 	s := a.set
-	if progress.gateLacksFloor || !s.disabled.Enabled(mechanism.GateFloors) {
+	if progress.gateLacksFloor || !s.features.Enabled(feature.GateFloors) {
 		return nil, false
 	}
 	now := clock.Now()
 	readers := s.rankReaders(a.request.Team, progress.attempted, s.lowerBound(a.request), now)
-	if len(readers) == 0 || readers[0].Primary || !readers[0].Usable() {
+	if len(readers) == 0 || readers[0].Primary || !readers[0].Healthy() {
 		return nil, false
 	}
 	return s.Member(readers[0].ID)
@@ -147,8 +147,8 @@
 			continue
 		}
 		c := m.candidate(primary, now)
-		c.AffinityElsewhere = preferred != "" && id != preferred && id != primary
-		c.Lagging = id != primary && s.replicaState(m, floor).ShouldSkip(now)
+		c.NotPreferred = preferred != "" && id != preferred && id != primary
+		c.Lagging = id != primary && s.replicaState(m, floor).KnownBehind(now)
 		if e.Leaving {
 			draining = append(draining, c)
 		} else {
@@ -161,7 +161,7 @@
 // affinityReplica returns the replica preferred for a team's reads; empty for
 // callers without a team. It is called with mu held.
 func (s *Set) affinityReplica(team, primary string) string {
-	if team == "" || !s.disabled.Enabled(mechanism.TeamReplicas) {
+	if team == "" || !s.features.Enabled(feature.TeamReplicas) {
 		return ""
 	}
 	preferred, bestScore := "", uint64(0)
@@ -184,13 +184,13 @@
 	if !known {
 		lag = catchup.UnknownLag
 	}
-	return catchup.Replica{ID: m.id, ObservedAt: observedAt, HasFloor: !position.Less(floor), Lag: lag}
+	return catchup.Replica{ID: m.id, ObservedAt: observedAt, CaughtUp: !position.Less(floor), Lag: lag}
 }
 
 // awaitReplica waits until a lagging replica is expected to reach the floor. It
 // returns false immediately if none will in time.
 func (a *attempts) awaitReplica(ctx context.Context, progress *readProgress, floor logpos.Position, now time.Duration) (*Member, bool) {
-	if !a.floorIsFixed(floor) || !a.set.disabled.Enabled(mechanism.ReplicaWait) {
+	if !a.floorIsFixed(floor) || !a.set.features.Enabled(feature.ReplicaWait) {
 		return nil, false
 	}
 	best, at, found := catchup.SoonestReady(a.set.awaitableReplicas(progress, floor, now), now, a.request.StartDeadline)
@@ -213,7 +213,7 @@
 		r := s.replicaState(m, floor)
 		// A replica that was tried has answered that it has not reached this
 		// floor.
-		r.HasFloor = r.HasFloor && !progress.attempted[id]
+		r.CaughtUp = r.CaughtUp && !progress.attempted[id]
 		out = append(out, r)
 	}
 	return out
--- a/node/replicaset/primary.go
+++ b/node/replicaset/primary.go
@@ -59,7 +59,7 @@
 	s.highWaterMark.Observe(m.id, term, p, clock.Now())
 	s.floors.ObserveInTerm(term, p, sent)
 	if _, known := s.members[m.id]; known {
-		s.primaryTracker.ObserveProof(m.id, term)
+		s.primaryTracker.ConfirmLeadership(m.id, term)
 	}
 	s.notifyPrimaryChange(before, "proof")
 }
--- a/node/replicaset/reclaim.go
+++ b/node/replicaset/reclaim.go
@@ -2,7 +2,7 @@
 
 import (
 	"github.com/dotterelswitch/dotterelswitch/core/connpool"
-	"github.com/dotterelswitch/dotterelswitch/core/mechanism"
+	"github.com/dotterelswitch/dotterelswitch/core/feature"
 	"github.com/dotterelswitch/dotterelswitch/node/clock"
 	"github.com/dotterelswitch/dotterelswitch/node/eventlog"
 )
@@ -11,7 +11,7 @@
 // member's connection while a request waits for one. The caller gets an error
 // at its next step.
 func (s *Set) reclaim(m *Member) {
-	if !s.disabled.Enabled(mechanism.Reclaim) {
+	if !s.features.Enabled(feature.Reclaim) {
 		return
 	}
 	if !m.exhausted() {
--- a/node/replicaset/set.go
+++ b/node/replicaset/set.go
@@ -8,10 +8,10 @@
 
 	"github.com/dotterelswitch/dotterelswitch/core/catalog"
 	"github.com/dotterelswitch/dotterelswitch/core/directory"
+	"github.com/dotterelswitch/dotterelswitch/core/feature"
 	"github.com/dotterelswitch/dotterelswitch/core/fresh"
 	"github.com/dotterelswitch/dotterelswitch/core/gates"
 	"github.com/dotterelswitch/dotterelswitch/core/logpos"
-	"github.com/dotterelswitch/dotterelswitch/core/mechanism"
 	"github.com/dotterelswitch/dotterelswitch/core/succession"
 	"github.com/dotterelswitch/dotterelswitch/node/eventlog"
 )
@@ -85,8 +85,8 @@
 	Owner string
 	// Host is this host's name in the fleet passed to Update.
 	Host string
-	// Disabled lists the mechanisms that are turned off.
-	Disabled mechanism.Disabled
+	// Features has the disabled features of the host.
+	Features feature.Set
 	Log      zerolog.Logger
 }
 
@@ -103,7 +103,7 @@
 	remote       Remote
 	owner        string
 	host         string
-	disabled     mechanism.Disabled
+	features     feature.Set
 	// gateHealth tracks which hosts answer their jobs.
 	gateHealth gateHealth
 	txs        txTable
@@ -140,7 +140,7 @@
 func New(cfg Config) *Set {
 	return &Set{
 		service: cfg.Service, dial: cfg.Dial, proto: cfg.Proto, topology: cfg.Topology, drainTimeout: cfg.DrainTimeout,
-		requestFloor: cfg.RequestFloor, onSuspect: cfg.OnSuspect, remote: cfg.Remote, owner: cfg.Owner, host: cfg.Host, disabled: cfg.Disabled, floorObserved: make(chan struct{}),
+		requestFloor: cfg.RequestFloor, onSuspect: cfg.OnSuspect, remote: cfg.Remote, owner: cfg.Owner, host: cfg.Host, features: cfg.Features, floorObserved: make(chan struct{}),
 		log:            cfg.Log.With().Str("service", cfg.Service).Logger(),
 		probeRequested: make(chan struct{}, 1), members: map[string]*Member{}, primaryChanged: make(chan struct{}),
 		shareCache: gates.NewShareCache(cfg.Host), voters: succession.NewVoterSet(cfg.Service),
@@ -181,7 +181,7 @@
 // shareOf returns this host's share of a member's connections. It is called
 // with mu held.
 func (s *Set) shareOf(plan gates.Plan, m gates.Member) gates.Share {
-	if !s.disabled.Enabled(mechanism.Gates) {
+	if !s.features.Enabled(feature.Gates) {
 		return plan.EvenShare()
 	}
 	return s.shareCache.For(plan, m)
--- a/node/replicaset/tx.go
+++ b/node/replicaset/tx.go
@@ -51,7 +51,7 @@
 func (t *Tx) Do(ctx context.Context, req Request) statement.Answer {
 	res := t.set.stepTx(ctx, t.member, t.gate, Job{Kind: JobStatement, Request: req, Tx: t.id})
 	if res.Err != nil {
-		return statement.ErrorAnswer(statement.Aborted, "the transaction was rolled back: "+res.Err.Error(), statement.Failed)
+		return statement.ErrorAnswer(statement.Aborted, "the transaction was rolled back: "+res.Err.Error(), statement.TransactionFailed)
 	}
 	return res.Answer
 }
--- a/node/replicaset/watch_gate.go
+++ b/node/replicaset/watch_gate.go
@@ -4,8 +4,8 @@
 	"context"
 	"time"
 
+	"github.com/dotterelswitch/dotterelswitch/core/feature"
 	"github.com/dotterelswitch/dotterelswitch/core/health"
-	"github.com/dotterelswitch/dotterelswitch/core/mechanism"
 	"github.com/dotterelswitch/dotterelswitch/node/clock"
 )
 
@@ -15,7 +15,7 @@
 // abandoned, to run elsewhere; a write waits for its answer or until the gate
 // counts as lost.
 func (s *Set) runWatched(ctx context.Context, address string, j Job) Result {
-	if !s.disabled.Enabled(mechanism.GateWatch) {
+	if !s.features.Enabled(feature.GateWatch) {
 		return s.remote.Run(ctx, address, s.service, j)
 	}
 	if !j.repeatable() {
--- a/node/watch/watcher.go
+++ b/node/watch/watcher.go
@@ -136,7 +136,7 @@
 
 // Handover replaces the primary if it is among the excluded members.
 func (w *Watcher) Handover(ctx context.Context, excluded []string) {
-	w.update(ctx, func(now time.Duration) []group.Action { return w.ctl.Handover(now, excluded) })
+	w.update(ctx, func(now time.Duration) []group.Action { return w.ctl.Switchover(now, excluded) })
 }
 
 // SetRank sets this host's rank among the group's watchers, which determines its
