--- a/core/admit/queue.go
+++ b/core/admit/queue.go
@@ -27,7 +27,7 @@
 	Team string
 	// Weight scales the team's share of the slots; 1 is a regular share.
 	Weight float64
-	// Cost is the expected slot time.
+	// Cost is the expected time for which the request occupies its slot.
 	Cost time.Duration
 	// Deadline is the latest useful completion time, on the same clock as the
 	// now arguments of Queue.
@@ -58,8 +58,8 @@
 	waiting     requestHeap
 	byID        map[uint64]*entry
 	sequence    uint64
-	// meanServiceTime is the moving average of the time that requests hold a
-	// slot. It is used to estimate queueing delay.
+	// meanServiceTime is the moving average of the time for which requests occupy
+	// a slot. It is used to estimate queueing delay.
 	meanServiceTime time.Duration
 }
 
@@ -144,7 +144,7 @@
 	heap.Push(&q.waiting, e)
 }
 
-// Done frees the slot of a request that held it for serviceTime. A zero
+// Done frees the slot of a request that occupied it for serviceTime. A zero
 // serviceTime marks a slot that was returned unused. Done returns the queued
 // requests that are admitted now and those that can no longer meet their
 // deadline, which are dropped.
--- a/core/admit/queue_test.go
+++ b/core/admit/queue_test.go
@@ -13,8 +13,9 @@
 
 func TestMain(m *testing.M) { fixedseed.Main(m) }
 
-// TestFairnessBound checks that the service received by any two backlogged teams
-// never differs by more than the cost of two requests of maximum size.
+// TestFairnessBound checks the fairness bound of start-time fair queueing: the service
+// received by any two backlogged teams never differs by more than the cost of two
+// requests of maximum size.
 func TestFairnessBound(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		slots := rapid.IntRange(1, 5).Draw(t, "slots")
@@ -35,7 +36,7 @@
 			}
 		}
 		for range slots {
-			offer("filler")
+			offer("warmup")
 		}
 		for _, team := range teams {
 			for range 60 {
@@ -62,10 +63,10 @@
 	})
 }
 
-// TestEveryRequestIsSettledOnce applies random operations and checks that every
+// TestEveryRequestLeavesQueueOnce applies random operations and checks that every
 // queued request is admitted, dropped or removed exactly once, and that the number
 // of running requests never exceeds the number of slots.
-func TestEveryRequestIsSettledOnce(t *testing.T) {
+func TestEveryRequestLeavesQueueOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		slots := rapid.IntRange(1, 4).Draw(t, "slots")
 		q := admit.NewQueue(admit.Config{Slots: slots, MaxQueued: 8, MaxTeamShare: 0.5})
@@ -127,8 +128,8 @@
 		q.Offer(request(id, "backlogged"), 0)
 	}
 	require.Equal(t, admit.Queued, q.Offer(request(50, "light"), 0))
-	admitted, _ := q.Done(1, 0)
-	require.Len(t, admitted, 1)
-	admitted2, _ := q.Done(1, 0)
-	require.True(t, admitted[0].Team == "light" || admitted2[0].Team == "light", "the second team waits behind the backlog of the first")
+	first, _ := q.Done(1, 0)
+	require.Len(t, first, 1)
+	second, _ := q.Done(1, 0)
+	require.True(t, first[0].Team == "light" || second[0].Team == "light", "the second team waits behind the backlog of the first")
 }
--- a/core/catalog/catalog.go
+++ b/core/catalog/catalog.go
@@ -34,8 +34,10 @@
 	StatementTimeout time.Duration
 	// TargetLatency is the latency objective of a whole operation.
 	TargetLatency time.Duration
-	// Priority 0 is the highest.
-	Priority     int
+	// Priority is the priority class; 0 is the highest.
+	Priority int
+	// MaxStaleness bounds the age of the data that ReadYourWrites and
+	// BoundedStaleness reads return.
 	MaxStaleness time.Duration
 	// Public allows callers without a known key.
 	Public bool
@@ -46,8 +48,8 @@
 	Name string
 	// MaxConnections bounds the connections to one member, over all hosts.
 	MaxConnections int
-	// SyncReplicas is the number of replicas that must have a commit before it
-	// is acknowledged.
+	// SyncReplicas is the number of replicas that must have received a commit
+	// before it is acknowledged.
 	SyncReplicas int
 }
 
--- a/core/catalog/credential.go
+++ b/core/catalog/credential.go
@@ -6,7 +6,7 @@
 	"fmt"
 )
 
-// Credential is the SHA-256 digest of a caller's key. The key itself is not
+// Credential is the SHA-256 digest of a caller's API key. The key itself is not
 // stored, and the time of a look-up by digest does not reveal how much of a
 // guessed key is correct.
 type Credential [sha256.Size]byte
--- a/core/catalog/team_test.go
+++ b/core/catalog/team_test.go
@@ -8,7 +8,7 @@
 	"github.com/dotterelswitch/dotterelswitch/core/catalog"
 )
 
-func newTeam(name string, keys ...string) catalog.TeamCredentials {
+func newTeamCredentials(name string, keys ...string) catalog.TeamCredentials {
 	t := catalog.TeamCredentials{Team: catalog.Team{Name: name}}
 	for _, k := range keys {
 		t.Credentials = append(t.Credentials, catalog.NewCredential(k))
@@ -24,7 +24,7 @@
 }
 
 func TestKeyIdentifiesTeam(t *testing.T) {
-	c := newCatalog(t, newTeam("schools", "k1", "k2"), newTeam("clubs", "k3"))
+	c := newCatalog(t, newTeamCredentials("schools", "k1", "k2"), newTeamCredentials("clubs", "k3"))
 	for key, want := range map[string]string{"k1": "schools", "k2": "schools", "k3": "clubs"} {
 		team, allowed := c.Authorize(catalog.Route{}, catalog.NewCredential(key))
 		require.True(t, allowed)
@@ -33,7 +33,7 @@
 }
 
 func TestUnknownKeyIsAuthorizedOnPublicRoutesOnly(t *testing.T) {
-	c := newCatalog(t, newTeam("schools", "k1"))
+	c := newCatalog(t, newTeamCredentials("schools", "k1"))
 	_, allowed := c.Authorize(catalog.Route{}, catalog.NewCredential("revoked-key"))
 	require.False(t, allowed)
 	team, allowed := c.Authorize(catalog.Route{Public: true}, catalog.NewCredential("revoked-key"))
@@ -41,7 +41,7 @@
 	require.Empty(t, team.Name)
 }
 
-// Deployments that declare no teams must accept every caller.
+// TestNoKeyRequiredWithoutTeams checks that a nil list of teams accepts every caller.
 func TestNoKeyRequiredWithoutTeams(t *testing.T) {
 	c := catalog.New(catalog.Spec{Version: 1})
 	team, allowed := c.Authorize(catalog.Route{}, catalog.NewCredential("anything"))
@@ -49,21 +49,21 @@
 	require.Empty(t, team.Name)
 }
 
-// An empty list of teams must not be treated like a missing one, which requires
-// no key.
+// TestEmptyTeamListRejectsAllCallers checks that an empty list of teams, unlike a nil
+// list, rejects every caller.
 func TestEmptyTeamListRejectsAllCallers(t *testing.T) {
 	_, allowed := newCatalog(t).Authorize(catalog.Route{}, catalog.NewCredential("k1"))
 	require.False(t, allowed)
 }
 
 func TestNewTeamsRejectsDuplicates(t *testing.T) {
-	_, err := catalog.NewTeams([]catalog.TeamCredentials{newTeam("a", "secret-key"), newTeam("b", "secret-key")})
+	_, err := catalog.NewTeams([]catalog.TeamCredentials{newTeamCredentials("a", "secret-key"), newTeamCredentials("b", "secret-key")})
 	var duplicateKey *catalog.DuplicateKeyError
 	require.ErrorAs(t, err, &duplicateKey)
 	require.NotContains(t, err.Error(), "secret-key", "the error must not contain the key")
-	_, err = catalog.NewTeams([]catalog.TeamCredentials{newTeam("a"), newTeam("a")})
+	_, err = catalog.NewTeams([]catalog.TeamCredentials{newTeamCredentials("a"), newTeamCredentials("a")})
 	var duplicateTeam *catalog.DuplicateTeamError
 	require.ErrorAs(t, err, &duplicateTeam)
-	_, err = catalog.NewTeams([]catalog.TeamCredentials{newTeam("a", "k", "k")})
+	_, err = catalog.NewTeams([]catalog.TeamCredentials{newTeamCredentials("a", "k", "k")})
 	require.NoError(t, err)
 }
--- a/core/classify/kind.go
+++ b/core/classify/kind.go
@@ -9,7 +9,8 @@
 
 // The kinds of statement.
 const (
-	// Write may change data and runs on the primary.
+	// Write may change data and runs on the primary. It is the zero value, which is
+	// safe for every statement that runs on a pooled connection.
 	Write Kind = iota
 	// Read may run on any member that satisfies the consistency level of the session.
 	Read
@@ -17,13 +18,13 @@
 	Begin
 	// BeginRead opens a transaction declared READ ONLY.
 	BeginRead
-	// End commits or rolls back a transaction.
+	// End commits or rolls back a transaction. A rollback to a savepoint is a Write.
 	End
 	// Set changes a session parameter.
 	Set
 	// Show reads a session parameter.
 	Show
-	// Pinning leaves state on the connection, so it cannot run on a pooled one.
+	// Pinning leaves state on the connection, so it cannot run on a pooled connection.
 	Pinning
 	// Empty is a query text without a statement.
 	Empty
--- a/core/classify/statement.go
+++ b/core/classify/statement.go
@@ -5,7 +5,8 @@
 // Statement is the classification of one query text.
 type Statement struct {
 	Kind Kind
-	// Tokens are the keywords and unquoted identifiers, in upper case.
+	// Tokens are the keywords and unquoted identifiers, in upper case. Literals,
+	// quoted identifiers and operators are left out.
 	Tokens []string
 	// Count is the number of statements in the text.
 	Count int
@@ -18,7 +19,7 @@
 	"SET_CONFIG", "LO_CREATE", "LO_UNLINK", "PG_NOTIFY", "DBLINK_EXEC",
 }
 
-// pinningKeywords are the first tokens of statements that leave state on the
+// pinningKeywords are the first keywords of statements that leave state on the
 // connection.
 var pinningKeywords = []string{"LISTEN", "UNLISTEN", "DECLARE", "PREPARE", "EXECUTE", "DEALLOCATE", "DISCARD", "LOAD", "COPY"}
 
@@ -29,37 +30,37 @@
 // hints.
 func Classify(sql string) Statement {
 	lex := newLexer(sql)
-	words, count := lex.tokenize()
-	st := Statement{Tokens: words, Count: count, Hints: lex.hints}
-	st.Kind = kindOf(words, count)
+	tokens, count := lex.tokenize()
+	st := Statement{Tokens: tokens, Count: count, Hints: lex.hints}
+	st.Kind = kindOf(tokens, count)
 	return st
 }
 
-func kindOf(words []string, count int) Kind {
-	if len(words) == 0 {
+func kindOf(tokens []string, count int) Kind {
+	if len(tokens) == 0 {
 		return Empty
 	}
-	if slices.ContainsFunc(words, func(word string) bool { return slices.Contains(pinningFunctions, word) }) {
+	if slices.ContainsFunc(tokens, func(word string) bool { return slices.Contains(pinningFunctions, word) }) {
 		return Pinning
 	}
-	if slices.Contains(pinningKeywords, words[0]) {
+	if slices.Contains(pinningKeywords, tokens[0]) {
 		return Pinning
 	}
-	if createsTemporaryObject(words) {
+	if createsTemporaryObject(tokens) {
 		return Pinning
 	}
 	if count > 1 {
 		return Write
 	}
-	return singleStatementKind(words)
+	return singleStatementKind(tokens)
 }
 
-func singleStatementKind(words []string) Kind {
-	switch words[0] {
+func singleStatementKind(tokens []string) Kind {
+	switch tokens[0] {
 	case "BEGIN", "START":
-		return beginKind(words)
+		return beginKind(tokens)
 	case "COMMIT", "END", "ROLLBACK", "ABORT":
-		if slices.Contains(words, "TO") {
+		if slices.Contains(tokens, "TO") {
 			return Write
 		}
 		return End
@@ -68,15 +69,15 @@
 	case "SHOW":
 		return Show
 	case "SELECT", "WITH", "VALUES", "TABLE":
-		return queryKind(words)
+		return queryKind(tokens)
 	default:
 		return Write
 	}
 }
 
-func beginKind(words []string) Kind {
-	for i := 0; i+1 < len(words); i++ {
-		if words[i] == "READ" && words[i+1] == "ONLY" {
+func beginKind(tokens []string) Kind {
+	for i := 0; i+1 < len(tokens); i++ {
+		if tokens[i] == "READ" && tokens[i+1] == "ONLY" {
 			return BeginRead
 		}
 	}
@@ -85,8 +86,8 @@
 
 // queryKind distinguishes read-only queries from those that lock or write. The word
 // FOR alone does not indicate a lock, as in SUBSTRING(x FOR n).
-func queryKind(words []string) Kind {
-	for _, word := range words {
+func queryKind(tokens []string) Kind {
+	for _, word := range tokens {
 		if slices.Contains(writeKeywords, word) {
 			return Write
 		}
@@ -94,9 +95,9 @@
 	return Read
 }
 
-func createsTemporaryObject(words []string) bool {
-	if words[0] != "CREATE" || len(words) < 2 {
+func createsTemporaryObject(tokens []string) bool {
+	if tokens[0] != "CREATE" || len(tokens) < 2 {
 		return false
 	}
-	return slices.Contains([]string{"TEMP", "TEMPORARY"}, words[1])
+	return slices.Contains([]string{"TEMP", "TEMPORARY"}, tokens[1])
 }
--- a/core/conf/diff.go
+++ b/core/conf/diff.go
@@ -2,10 +2,11 @@
 
 import "reflect"
 
-// Effect is the effect of a change on one item.
+// Effect is the kind of a Difference.
 type Effect uint8
 
 const (
+	// Unchanged includes the deletion of an item that does not exist.
 	Unchanged Effect = iota
 	Added
 	Replaced
@@ -16,7 +17,7 @@
 
 func (e Effect) String() string { return effectNames[e] }
 
-// Difference is the effect of a change on one item.
+// Difference describes the effect of a change on one item.
 type Difference struct {
 	Effect Effect `json:"effect"`
 	Kind   string `json:"kind"`
@@ -26,7 +27,8 @@
 // MarshalText encodes the effect by name.
 func (e Effect) MarshalText() ([]byte, error) { return []byte(e.String()), nil }
 
-// Diff returns the effect of putting and deleting items, one entry per item.
+// Diff returns the effect of putting and deleting items: one entry per item that is
+// put and one per item that is deleted, by kind in the order of the declarations.
 func (c *Config) Diff(put Items, del Names) []Difference {
 	var out []Difference
 	out = diff(out, "zone", c.Zones, put.Zones, del.Zones, zoneName)
@@ -37,7 +39,7 @@
 	return diff(out, "drain", c.Drains, put.Drains, drainKeys(del.Drains), drainKey)
 }
 
-func diff[T any](out []Difference, kind string, current, put []T, deleted []string, name func(T) string) []Difference {
+func diff[T any](diffs []Difference, kind string, current, put []T, deleted []string, name func(T) string) []Difference {
 	for _, item := range put {
 		effect := Added
 		if old, found := find(current, name(item), name); found {
@@ -46,14 +48,14 @@
 				effect = Unchanged
 			}
 		}
-		out = append(out, Difference{Effect: effect, Kind: kind, Name: name(item)})
+		diffs = append(diffs, Difference{Effect: effect, Kind: kind, Name: name(item)})
 	}
 	for _, n := range deleted {
 		effect := Unchanged
 		if _, found := find(current, n, name); found {
 			effect = Deleted
 		}
-		out = append(out, Difference{Effect: effect, Kind: kind, Name: n})
+		diffs = append(diffs, Difference{Effect: effect, Kind: kind, Name: n})
 	}
-	return out
+	return diffs
 }
--- a/core/conf/tracker.go
+++ b/core/conf/tracker.go
@@ -1,7 +1,7 @@
 package conf
 
-// maxRecentChanges bounds the changes kept for peers that are behind. A peer that
-// needs older ones has to fetch a snapshot.
+// maxRecentChanges bounds the changes kept for hosts with an older version. A host
+// that needs older changes has to fetch a snapshot.
 const maxRecentChanges = 256
 
 // Tracker holds the newest configuration known to one host. Its version only
--- a/core/conf/validate.go
+++ b/core/conf/validate.go
@@ -43,9 +43,9 @@
 }
 
 // ValidateItems checks only the given items; names that they refer to are looked
-// up in the receiver. The number of checks depends on the items and not on the
-// size of the configuration, so only Validate detects an upstream name or a
-// credential that is also declared outside the given items.
+// up in the receiver. It does not compare the items with the whole configuration:
+// only Validate detects an upstream name or a credential that is also declared
+// outside the given items.
 func (c *Config) ValidateItems(items Items) error {
 	part := &Config{
 		Zones: items.Zones, Services: items.Services, Classes: items.Classes,
@@ -65,7 +65,7 @@
 	v.problems = append(v.problems, fmt.Sprintf(format, args...))
 }
 
-// checkName checks the syntax of a name and that no other item of its kind has it.
+// checkName checks the syntax of a name and that it is not in seen, and adds it.
 func (v *validator) checkName(kind, name string, seen map[string]bool) {
 	if len(name) > MaxNameLength || !namePattern.MatchString(name) {
 		v.problemf("%s %q: a name is 1 to %d lower-case letters, digits or hyphens and begins with a letter", kind, name, MaxNameLength)
@@ -88,6 +88,8 @@
 
 func (v *validator) checkServices() {
 	seen := make(map[string]bool)
+	// Drains name an upstream without its service, so upstream names are unique over
+	// all services.
 	upstreams := make(map[string]bool)
 	for _, s := range v.cfg.Services {
 		v.checkName("service", s.Name, seen)
@@ -174,6 +176,8 @@
 	}
 }
 
+// checkDrains checks the drains. Hosts are not part of the configuration, so any
+// host name is valid.
 func (v *validator) checkDrains() {
 	for _, d := range v.cfg.Drains {
 		if d.Kind != DrainHost && d.Kind != DrainUpstream {
--- a/core/connpool/demand.go
+++ b/core/connpool/demand.go
@@ -6,9 +6,9 @@
 )
 
 const (
-	// demandDecayTime is the time constant of a team's demand. It spans several
-	// requests of a team that calls rarely, while a team that has stopped calling
-	// loses its connection soon.
+	// demandDecayTime is the time constant of a team's demand: long enough to span
+	// several requests of a team that calls rarely, short enough that a team that
+	// has stopped calling soon loses its connection.
 	demandDecayTime = 8 * time.Second
 	// minTeamDemand is the demand below which the entry of a team is removed.
 	minTeamDemand = 0.02
--- a/core/connpool/idle.go
+++ b/core/connpool/idle.go
@@ -45,8 +45,8 @@
 		return 0, Waiter{}, false
 	}
 	index, found := nextWaiter(p.waiting, now, func(w Waiter) bool {
-		_, usable := p.findIdle(w)
-		return usable
+		_, hasIdle := p.findIdle(w)
+		return hasIdle
 	})
 	if !found {
 		return 0, Waiter{}, false
@@ -74,8 +74,8 @@
 }
 
 // NextIdleExpiry returns when ExpireIdle next has a connection to close if nothing
-// else changes, or zero if there is none. A host's only connection is not counted
-// while it is within the fair share.
+// else changes, or zero if there is none. No expiry is scheduled for a single open
+// connection within the fair share.
 func (p *Pool) NextIdleExpiry() time.Duration {
 	if len(p.idle) == 0 || p.Open() <= min(p.limits.FairShare, 1) {
 		return 0
@@ -90,8 +90,8 @@
 	return earliest
 }
 
-// OpenByTeam returns the number of connections of each team, including those being
-// opened.
+// OpenByTeam returns the number of connections of each team: those in use, idle and
+// being opened.
 func (p *Pool) OpenByTeam() map[string]int {
 	open := maps.Clone(p.inUse)
 	for team, n := range p.opening {
@@ -117,7 +117,9 @@
 }
 
 // ExpireIdle removes the connections that have reached their idle timeout and
-// returns them for closing. A team's most recently used connection goes last.
+// returns them for closing. The timeouts of later connections take those removed
+// before into account, so that a team's most recently used connection is kept
+// longest.
 func (p *Pool) ExpireIdle(now time.Duration) []ConnID {
 	var expired []ConnID
 	open, byTeam := p.Open(), p.OpenByTeam()
--- a/core/connpool/overload_test.go
+++ b/core/connpool/overload_test.go
@@ -9,10 +9,10 @@
 	"github.com/dotterelswitch/dotterelswitch/core/connpool"
 )
 
-// overload offers a pool two and a half times the load that it can run. Statements
+// simulateOverload offers a pool two and a half times the load that it can run. Statements
 // are on time while they have waited for less than waitFraction of their target. It
 // returns how many were answered within their target, and how many in total.
-func overload(t *testing.T, waitFraction float64) (onTime, served int) {
+func simulateOverload(t *testing.T, waitFraction float64) (onTime, served int) {
 	t.Helper()
 	const (
 		serviceTime = 15 * ms
@@ -64,8 +64,8 @@
 // of the target serves as many statements as waiting for all of it, and nearly all of
 // them on time.
 func TestBoundedWaitKeepsThroughput(t *testing.T) {
-	onTime, served := overload(t, connpool.OnTimeWaitFraction)
-	fullWaitOnTime, fullWaitServed := overload(t, 1)
+	onTime, served := simulateOverload(t, connpool.OnTimeWaitFraction)
+	fullWaitOnTime, fullWaitServed := simulateOverload(t, 1)
 	require.InDelta(t, fullWaitServed, served, float64(fullWaitServed)/50)
 	require.Greater(t, onTime, served*95/100)
 	require.Greater(t, onTime, fullWaitOnTime*12/10)
--- a/core/connpool/pool.go
+++ b/core/connpool/pool.go
@@ -5,6 +5,10 @@
 // The number of connections bounds a host's share of the member's own queue. Excess
 // statements wait here, where they can be ordered by urgency and refused in time,
 // rather than in the member's queue.
+//
+// A statement is on time until it has waited for OnTimeWaitFraction of its latency
+// target, and late from then on. Late statements are served after those on time, and
+// refused once they cannot be started by their start deadline.
 package connpool
 
 import "time"
@@ -38,8 +42,8 @@
 	// the pauses between statements of a busy host, because opening is expensive.
 	idleTimeoutAboveFairShare = 150 * time.Millisecond
 	// extraIdleTimeout is the idle timeout of a connection whose team has others.
-	// Closing spare connections leaves more of the member's limit to restarted hosts
-	// while the member still holds their old connections.
+	// Closing extra connections leaves more of the member's limit to restarted hosts
+	// while the member still has their half-open connections.
 	extraIdleTimeout = time.Second
 	// maxIdleTimeout is the idle timeout of any other connection. It is shorter than
 	// the idle timeout of the members, which is 60 s.
@@ -84,8 +88,8 @@
 	counts        Counts
 	// demand estimates which teams are likely to need a connection again.
 	demand *teamDemand
-	// meanHoldTime is the mean time that a statement holds a connection;
-	// meanResponseTime is that of one response of the member, including its queue.
+	// meanHoldTime is the mean time for which a statement holds a connection, and
+	// meanResponseTime the mean response time of the member, including its queue.
 	meanHoldTime, meanResponseTime time.Duration
 }
 
@@ -158,7 +162,7 @@
 type Decision struct {
 	Outcome Outcome
 	Conn    ConnID
-	// RetryAfter is the expected wait. It is set on a refusal.
+	// RetryAfter is the expected wait of a refused statement.
 	RetryAfter time.Duration
 }
 
@@ -222,11 +226,11 @@
 	p.backoffUntil = max(p.backoffUntil, now+backoff)
 }
 
-// Released returns a usable connection to the pool after it was held for the given
-// time, and assigns it to a waiter if there is one for it.
-func (p *Pool) Released(c Conn, held, now time.Duration) (Waiter, bool) {
+// Released returns a usable connection to the pool after a statement has held it for
+// holdTime, and assigns it to a waiter if there is one for it.
+func (p *Pool) Released(c Conn, holdTime, now time.Duration) (Waiter, bool) {
 	decrement(p.inUse, c.Team)
-	p.meanHoldTime += time.Duration(meanSampleWeight * float64(held-p.meanHoldTime))
+	p.meanHoldTime += time.Duration(meanSampleWeight * float64(holdTime-p.meanHoldTime))
 	w, found := p.assignOrIdle(c, now)
 	if found {
 		p.counts.Reused++
@@ -282,10 +286,10 @@
 	return max(w.OnTimeUntil, w.StartDeadline-2*p.meanResponseTime)
 }
 
-// WaitUntil returns until when a queued statement waits before this is evaluated
-// again. It returns false if the statement is to be refused, because it cannot
-// be started in time. Late statements are kept while they can still be served,
-// because callers retry only a few times.
+// WaitUntil returns when to call it again for a queued statement that is still
+// waiting then. It returns false if the statement is to be refused, because it
+// cannot be started in time. Late statements are kept while they can still be
+// served, because callers retry only a few times.
 func (p *Pool) WaitUntil(w Waiter, now time.Duration) (time.Duration, bool) {
 	switch {
 	case now < w.OnTimeUntil:
@@ -300,8 +304,8 @@
 // cannotServeInTime reports whether a late statement cannot be started in time
 // even if only late statements were served from now on.
 func (p *Pool) cannotServeInTime(w Waiter, now time.Duration) bool {
-	usable := len(p.idle) + p.InUse()
-	if usable == 0 {
+	established := len(p.idle) + p.InUse()
+	if established == 0 {
 		// A member at its connection limit soon drops the connections of crashed
 		// hosts. An unreachable member gives no reason to wait.
 		return !p.memberAtLimit
@@ -312,7 +316,7 @@
 			ahead++
 		}
 	}
-	return now+p.meanHoldTime*time.Duration(ahead+1)/time.Duration(usable) > p.latestUsefulStart(w)
+	return now+p.meanHoldTime*time.Duration(ahead+1)/time.Duration(established) > p.latestUsefulStart(w)
 }
 
 // CancelWait removes a waiter. It reports whether the waiter was still queued.
--- a/core/connpool/pool_test.go
+++ b/core/connpool/pool_test.go
@@ -56,9 +56,9 @@
 	require.Equal(t, 1, p.Open())
 }
 
-// TestSpareConnectionsExpire checks that connections that a lightly loaded host does not
+// TestExtraConnectionsExpire checks that connections that a lightly loaded host does not
 // need are closed. Otherwise they use up the member's limit if the host crashes.
-func TestSpareConnectionsExpire(t *testing.T) {
+func TestExtraConnectionsExpire(t *testing.T) {
 	p := connpool.New(connpool.Limits{MaxOpen: 7, FairShare: 7, MaxWaiting: 10})
 	openInUse(t, p, 7)
 	for id := range 7 {
@@ -76,8 +76,8 @@
 	require.Empty(t, p.ExpireIdle(now+time.Second), "the last connection stays open")
 }
 
-// TestBacksOffFromMemberAtLimit checks the pause after a member refused a connection:
-// every refused attempt costs the member time.
+// TestBacksOffFromMemberAtLimit checks that no connection is opened for a while after a
+// member refused one because of its limit.
 func TestBacksOffFromMemberAtLimit(t *testing.T) {
 	p := connpool.New(smallLimits)
 	p.Acquire(waiter(1, 0, time.Hour, time.Hour), 0)
@@ -175,9 +175,9 @@
 	require.Equal(t, 13, kept)
 }
 
-// TestLateStatementIsNotStartedPastUsefulTime checks that a late statement is refused if
+// TestLateStatementIsNotStartedTooLateToFinish checks that a late statement is refused if
 // the member's response time of 130 ms makes a response in time unlikely.
-func TestLateStatementIsNotStartedPastUsefulTime(t *testing.T) {
+func TestLateStatementIsNotStartedTooLateToFinish(t *testing.T) {
 	p := connpool.New(connpool.Limits{MaxOpen: 1, FairShare: 1, MaxWaiting: 100})
 	openInUse(t, p, 1)
 	for range 200 {
@@ -192,7 +192,7 @@
 	require.Equal(t, 250*ms, refusedAt(p, w, 0), "an on-time statement is always started")
 }
 
-func TestOrderOfService(t *testing.T) {
+func TestServesByPriorityThenDeadline(t *testing.T) {
 	p := connpool.New(connpool.Limits{MaxOpen: 1, FairShare: 1, MaxWaiting: 10})
 	openInUse(t, p, 1)
 	late := waiter(1, 2, 50*ms, time.Hour)
--- a/core/connpool/short_first_test.go
+++ b/core/connpool/short_first_test.go
@@ -73,8 +73,8 @@
 	return short, long
 }
 
-// TestShortStatementsFirstServesMoreOnTime checks that ordering by ExtraExecutionTime serves more
-// statements on time under overload, without starving the long ones.
+// TestShortStatementsFirstServesMoreOnTime checks that ordering by ExtraExecutionTime
+// serves more statements on time under overload, without starving the long ones.
 func TestShortStatementsFirstServesMoreOnTime(t *testing.T) {
 	shortUnweighted, longUnweighted := mixedOverload(0)
 	short, long := mixedOverload(6 * time.Millisecond)
--- a/core/connpool/team_test.go
+++ b/core/connpool/team_test.go
@@ -88,7 +88,7 @@
 	p := connpool.New(connpool.Limits{MaxOpen: 1, FairShare: 1, MaxWaiting: 64})
 	openFor(t, p, 1, "busy", 0)
 	require.Equal(t, connpool.Granted, p.Acquire(teamWaiter(2, "busy"), 0).Outcome)
-	require.Equal(t, connpool.Queued, p.Acquire(teamWaiter(3, "quiet"), 0).Outcome)
+	require.Equal(t, connpool.Queued, p.Acquire(teamWaiter(3, "idle"), 0).Outcome)
 	const serviceTime = 10 * ms
 	for i := range 20 {
 		now := time.Duration(i) * serviceTime
@@ -98,7 +98,7 @@
 		if _, found := p.Released(connpool.Conn{ID: 1, Team: "busy"}, serviceTime, now+serviceTime); !found {
 			request, due := p.BeginOpen(now + serviceTime)
 			require.True(t, due)
-			require.Equal(t, connpool.OpenRequest{Team: "quiet", Evicted: 1, Evicts: true}, request)
+			require.Equal(t, connpool.OpenRequest{Team: "idle", Evicted: 1, Evicts: true}, request)
 			require.Greater(t, i, 2, "the connection must not be evicted after a short wait")
 			return
 		}
--- a/core/connpool/waiter.go
+++ b/core/connpool/waiter.go
@@ -2,10 +2,10 @@
 
 import "time"
 
-// OnTimeWaitFraction is the fraction of its latency target that a statement may
-// wait for a connection and still be served as on time. Under overload, serving
-// late statements first would make the ones behind them late too, so they are
-// served after those that are on time.
+// OnTimeWaitFraction is the fraction of its latency target for which a statement may
+// wait for a connection and still count as on time. Under overload, serving late
+// statements first would make the ones behind them late too, so they are served
+// after those that are on time.
 const OnTimeWaitFraction = 0.5
 
 // Waiter is a statement that needs a connection.
@@ -30,15 +30,15 @@
 	// OnTimeUntil is when the statement becomes late. Late statements are served
 	// after all that are on time.
 	OnTimeUntil time.Duration
-	// StartDeadline is the latest useful start.
+	// StartDeadline is the latest time at which starting the statement is useful.
 	StartDeadline time.Duration
 	// SessionValues identifies the session values that the statement requires.
 	SessionValues string
 }
 
-// extraExecutionTimeFactor is the delay in a statement's order of service per unit of
-// ExtraExecutionTime. Preferring short statements lets an overloaded slot serve more
-// callers; too large a factor starves long statements.
+// extraExecutionTimeFactor is by how much a statement's effective deadline is later
+// per unit of ExtraExecutionTime. Preferring short statements lets an overloaded slot
+// serve more callers; too large a factor starves long statements.
 const extraExecutionTimeFactor = 50
 
 // effectiveDeadline returns the sort key of statements of the same priority that
@@ -63,10 +63,10 @@
 // canUse reports whether the statement may run on a connection of the given team.
 func (w Waiter) canUse(team string) bool { return w.AnyTeam || w.Team == team }
 
-// teamSwitchMargin is by how much a statement must be more urgent than one of the
-// connection's team for the connection to be replaced by one of another team. It
-// amortizes the cost of opening connections, while its bound keeps a team with
-// a permanent backlog from holding its connections indefinitely.
+// teamSwitchMargin is by how much the target deadline of another team's statement
+// must be earlier for a freed connection to be replaced rather than reused by its own
+// team. It avoids opening a connection for each statement, but does not let a team
+// with a permanent backlog keep its connections indefinitely.
 const teamSwitchMargin = 60 * time.Millisecond
 
 // precedesWithSwitch reports whether w, which needs a connection of another team, is
--- a/core/directory/directory.go
+++ b/core/directory/directory.go
@@ -4,9 +4,9 @@
 // An entry can disappear although its member is alive: it expires while the platform is
 // unavailable and is written again shortly after. So a missing entry starts a grace
 // period, and the member is removed only if the entry is still missing at its end. An
-// entry can also be older than what is known: the platform may be restored from an
-// older copy or execute a write late. Members number their writes so that the newest
-// can be identified.
+// entry can also be older than what is known: the platform may be restored from a
+// backup or execute a write with a delay. Members number their writes so that the
+// newest can be identified.
 package directory
 
 import (
@@ -54,7 +54,8 @@
 	// LeavingSince is when Leaving was first seen; zero if it is not set.
 	LeavingSince time.Duration
 	missingSince time.Duration
-	// earlierStart is an earlier start time that the last entry has reported.
+	// earlierStart is the start time of the last entry if it is earlier than that of
+	// the current incarnation; zero otherwise.
 	earlierStart  StartTime
 	restoredEntry restoredEntry
 }
@@ -65,8 +66,8 @@
 	return e.StartedAt == other.StartedAt || e.StartedAt == 0 || other.StartedAt == 0
 }
 
-// GracePeriod is how long a missing entry is tolerated. The platform's members write
-// again within two seconds of its return; half a second allows for delivery.
+// GracePeriod is how long a missing entry is tolerated. It covers the two seconds in
+// which members write their entries again once the platform is back, and delivery.
 const GracePeriod = 2500 * time.Millisecond
 
 // Directory is the set of members. It is not safe for concurrent use.
@@ -86,7 +87,7 @@
 }
 
 // removalRetention is how long a removal is remembered. It covers a restore of the
-// platform from a copy some seconds old that still contains the member's entry.
+// platform from a recent backup that still contains the member's entry.
 const removalRetention = time.Minute
 
 // reinstatedBy reports whether an entry shows that a removed member exists again. An
@@ -149,9 +150,9 @@
 }
 
 // isFromEarlierIncarnation reports whether an entry was written by an earlier
-// incarnation. The store may execute such a write seconds late, and it must not replace
-// the current incarnation. That happens at most once, so a second entry in a row with
-// the same earlier start time comes from a member whose clock was set back.
+// incarnation. The store may execute such a write with a delay of seconds, and it must
+// not replace the current incarnation. That happens at most once, so a second entry in
+// a row with the same earlier start time comes from a member whose clock was set back.
 func (m *Member) isFromEarlierIncarnation(e Entry) bool {
 	if e.StartedAt == 0 || e.StartedAt >= m.StartedAt || e.StartedAt == m.earlierStart && e.Revision > m.Revision {
 		return false
@@ -161,7 +162,8 @@
 }
 
 // HasEarlierStartTime reports whether the newest entry of a member has an earlier start
-// time than the current incarnation. The next entry resolves that.
+// time than the current incarnation. The next entry shows whether it was a delayed
+// write or the member's clock was set back.
 func (d *Directory) HasEarlierStartTime(id string) bool {
 	m, found := d.members[id]
 	return found && m.earlierStart != 0
--- a/core/directory/directory_test.go
+++ b/core/directory/directory_test.go
@@ -14,9 +14,9 @@
 	return directory.Entry{ID: id, Service: "s", Address: "a:1", Revision: revision}
 }
 
-// TestLapsedEntryStaysDuringGracePeriod covers an outage of the platform: entries
+// TestMissingEntryStaysDuringGracePeriod covers an outage of the platform: entries
 // expire and are written again while their members keep serving.
-func TestLapsedEntryStaysDuringGracePeriod(t *testing.T) {
+func TestMissingEntryStaysDuringGracePeriod(t *testing.T) {
 	d := directory.New()
 	d.Put(entry("a", 1), 0)
 	d.MarkMissing("a", 5, time.Second)
@@ -78,7 +78,7 @@
 	return e
 }
 
-func TestNewIncarnationResetsTheMember(t *testing.T) {
+func TestNewIncarnationResetsMemberState(t *testing.T) {
 	d := directory.New()
 	e := started(1, 100)
 	e.Leaving = true
@@ -90,7 +90,7 @@
 	require.Zero(t, m.LeavingSince)
 }
 
-// TestEarlierIncarnationIsIgnored covers a late write of an earlier incarnation, and a
+// TestEarlierIncarnationIsIgnored covers a delayed write of an earlier incarnation, and a
 // restarted member whose clock was set back.
 func TestEarlierIncarnationIsIgnored(t *testing.T) {
 	d := directory.New()
@@ -99,7 +99,7 @@
 	require.False(t, d.Put(started(6, 100), 0), "the same event again")
 	require.Equal(t, directory.StartTime(200), d.Members()[0].StartedAt)
 	d.Put(started(7, 200), 0)
-	require.False(t, d.Put(started(8, 100), 0), "an entry of the current incarnation resets the dispute")
+	require.False(t, d.Put(started(8, 100), 0), "an entry of the current incarnation clears the earlier start time")
 	require.True(t, d.Put(started(9, 100), 0), "two entries in a row are accepted")
 	require.Equal(t, directory.StartTime(100), d.Members()[0].StartedAt)
 }
@@ -111,9 +111,9 @@
 	require.Equal(t, directory.StartTime(200), d.Members()[0].StartedAt)
 }
 
-// TestListingReadBeforeRemovalDoesNotUndoIt covers a listing that was read before the
+// TestStaleListingDoesNotRestoreRemovedMember covers a listing that was read before the
 // watch reported the removal of a member's entry.
-func TestListingReadBeforeRemovalDoesNotUndoIt(t *testing.T) {
+func TestStaleListingDoesNotRestoreRemovedMember(t *testing.T) {
 	d := directory.New()
 	e := entry("a", 1)
 	e.Leaving = true
@@ -125,9 +125,9 @@
 	require.Len(t, d.Members(), 1, "the member was registered again")
 }
 
-// TestEventOlderThanALossDoesNotUndoIt covers a repeated event with the entry as it was
-// before it went missing.
-func TestEventOlderThanALossDoesNotUndoIt(t *testing.T) {
+// TestStaleEventDoesNotRestoreMissingEntry covers a delayed event that carries the entry
+// from before it went missing.
+func TestStaleEventDoesNotRestoreMissingEntry(t *testing.T) {
 	d := directory.New()
 	d.Put(entry("a", 1), 0)
 	d.MarkMissing("a", 5, time.Second)
--- a/core/directory/restored_entry.go
+++ b/core/directory/restored_entry.go
@@ -2,18 +2,18 @@
 
 import "github.com/dotterelswitch/dotterelswitch/core/store"
 
-// restoredEntry is the entry of a member that the store's copy held after a restore. It
-// distinguishes that entry from later writes of members that do not report a start
-// time: their sequence restarts at one, so an entry with a lower sequence may be
-// either.
+// restoredEntry identifies a member's entry that was restored from a backup of the
+// store. It distinguishes that entry from later writes of members that do not report a
+// start time: their sequence restarts at one with each incarnation, so an entry with a
+// lower sequence may be the restored one or a new one.
 type restoredEntry struct {
 	epoch    store.Epoch
 	sequence uint64
 	found    bool
 }
 
-// outdated reports whether an entry is older than the known one: it comes from a
-// restored copy of the store or was written late.
+// outdated reports whether an entry is older than the known one, because it was
+// restored from a backup or is a delayed write.
 func (r *restoredEntry) outdated(known, e Entry) bool {
 	if e.Sequence >= known.Sequence || !known.SameIncarnation(e) {
 		return false
--- a/core/directory/restored_test.go
+++ b/core/directory/restored_test.go
@@ -25,7 +25,7 @@
 var startTimes = map[string]directory.StartTime{"reported": 500, "not reported": 0}
 
 // TestRestoreDoesNotUndoLeaving covers a member that announced its shutdown after the
-// copy was made.
+// backup was made.
 func TestRestoreDoesNotUndoLeaving(t *testing.T) {
 	for name, startedAt := range startTimes {
 		d := directory.New()
@@ -60,7 +60,7 @@
 }
 
 // TestMemberMissingAfterRestoreGetsGracePeriod covers a member that joined after the
-// copy was made.
+// backup was made.
 func TestMemberMissingAfterRestoreGetsGracePeriod(t *testing.T) {
 	d := directory.New()
 	d.Put(entryAt(t, 1, 300, 9), 0)
--- a/core/gates/fleet.go
+++ b/core/gates/fleet.go
@@ -4,18 +4,19 @@
 	"github.com/dotterelswitch/dotterelswitch/core/membership"
 )
 
-// Fleet is the set of live hosts, grouped by zone once for the plans of all services,
-// so that the gates of a member are ranked among the hosts of its own zone first
-// instead of sorting the whole fleet for each member (BenchmarkPlan).
+// Fleet is the set of live hosts, grouped by zone. The plans of all services share one
+// grouping, so that ranking the gates of a member does not sort the whole fleet
+// (BenchmarkPlan).
 type Fleet struct {
 	names        []string
 	byName       map[string]Host
 	byZone       map[string][]Host
 	regionByZone map[string]string
 	// generation counts the changes since the first fleet; zero means that the
-	// predecessor is unknown. change is the difference from the predecessor.
+	// predecessor is unknown.
 	generation uint64
-	change     Change
+	// change is the difference from the predecessor.
+	change Change
 }
 
 // Change is the difference between a fleet and its predecessor. A host whose address
@@ -83,9 +84,8 @@
 // slice.
 func (f Fleet) Names() []string { return f.names }
 
-// The distances from a member's zone to a host's.
+// The distances between two zones.
 const (
-	// The values of distance between two zones.
 	sameZone = iota
 	sameRegion
 	otherRegion
--- a/core/gates/plan.go
+++ b/core/gates/plan.go
@@ -1,10 +1,12 @@
-// Package gates decides which hosts hold the connections to a member.
+// Package gates decides which hosts pool the connections to a member. A gate of a
+// member is a host that pools connections to it and runs other hosts' statements on
+// them. It is used on the users' platform.
 //
 // A member accepts far fewer connections than a fleet would use. Divided evenly among
 // all hosts, some hosts would have less than one connection while those of others are
 // idle, and opening connections on demand is expensive for the member. So a few hosts,
-// the member's gates, share its connections, and the other hosts send their statements
-// to a gate. If there are enough connections, every host is a gate.
+// the gates, share the connections, and the other hosts send their statements to a
+// gate. If there are enough connections, every host is a gate.
 package gates
 
 import (
@@ -17,22 +19,17 @@
 	// the transactions that arrive at one gate at the same time under load.
 	minConnectionsPerGate = 7
 	// maxConnectionsPerSlot bounds the connections that the gates use at once for each
-	// slot of a member. More would exceed the member's queue while its replicas lag,
-	// and it would reject the excess; further statements wait in order at the gates
-	// instead. Fewer would leave a small member with fewer gates to fail over to. The
-	// remaining connections also serve hosts that restart after a power failure, while
-	// the member still holds dead connections.
+	// slot of a member, so that the member's own queue stays bounded. Further
+	// statements wait at the gates, where they are ordered by urgency.
 	maxConnectionsPerSlot = 11
 	// reservedPerSlot is the number of connections per slot that gates do not pool for
-	// teams. After a power failure a member holds dead connections for seconds, and
-	// these are all that the restarted hosts can open: one that runs, one that waits
-	// and one that is being opened keep a slot busy.
+	// teams, so that restarted hosts can connect while the member still has half-open
+	// connections of their previous incarnation.
 	reservedPerSlot = 3
 	// maxDirectConnections is how many connections a host that is not a gate may open
 	// while it reaches no gate.
 	maxDirectConnections = 2
-	// maxWaiting bounds the statements that wait for one member on one host: about a
-	// second of work of one slot.
+	// maxWaiting bounds the statements that wait for one member on one host.
 	maxWaiting = 64
 )
 
@@ -52,10 +49,10 @@
 	Slots int
 }
 
-// Share is the part of one host in the connections of one member.
+// Share is one host's share of a member's connections.
 type Share struct {
 	Limits connpool.Limits
-	// GateAddresses are where to send statements, in order of preference; empty on a
+	// GateAddresses are the addresses of the gates in order of preference; empty on a
 	// gate.
 	GateAddresses []string
 	// GateHosts are the gates of the member, including this host if it is one.
@@ -64,7 +61,8 @@
 
 // Plan divides the connections of the members of one service.
 type Plan struct {
-	fleet       Fleet
+	fleet Fleet
+	// connections is how many connections each member accepts.
 	connections int
 }
 
@@ -82,7 +80,7 @@
 }
 
 // pooledConnections returns how many connections the gates of a member pool for
-// different teams: all but those reserved for hosts that restart after a power failure.
+// different teams: all but those reserved for restarted hosts.
 func (p Plan) pooledConnections(m Member) int {
 	return max(p.activeConnections(m), p.connections-reservedPerSlot*m.Slots)
 }
@@ -94,9 +92,9 @@
 }
 
 // gateShare returns the share of a host with connections of its own, of which up to
-// maxBusy run statements at once.
-func gateShare(connections, maxBusy int) Share {
-	return Share{Limits: connpool.Limits{MaxOpen: connections, MaxActive: maxBusy, FairShare: connections, MaxWaiting: maxWaiting}}
+// maxActive run statements at once.
+func gateShare(connections, maxActive int) Share {
+	return Share{Limits: connpool.Limits{MaxOpen: connections, MaxActive: maxActive, FairShare: connections, MaxWaiting: maxWaiting}}
 }
 
 // For returns the share of the named host in a member.
@@ -114,6 +112,7 @@
 	activeConnections := p.activeConnections(m)
 	count := top.Size()
 	if count == 0 {
+		// No host is known, not even this one, so that all connections are its own.
 		return Share{Limits: connpool.Limits{MaxOpen: activeConnections, FairShare: 1, MaxWaiting: maxWaiting}}
 	}
 	each := max(activeConnections/count, 1)
@@ -123,6 +122,7 @@
 		share.GateHosts = chosen
 		return share
 	}
+	// FairShare is zero, so that idle direct connections are closed soon.
 	return Share{
 		Limits:        connpool.Limits{MaxOpen: min(maxDirectConnections, each), MaxWaiting: maxWaiting},
 		GateAddresses: rankedAddresses(chosen, m.ID, host), GateHosts: chosen,
@@ -139,6 +139,7 @@
 // teams.
 func (s Share) GateRoute(team, member, host string) []string {
 	out := make([]string, 0, len(s.GateHosts))
+	// The zero byte keeps different pairs of names from forming the same key.
 	for _, h := range membership.RankBy(member+"\x00"+team, s.GateHosts, hostName) {
 		if h.Name == host {
 			break
--- a/core/gates/plan_bench_test.go
+++ b/core/gates/plan_bench_test.go
@@ -14,8 +14,8 @@
 		b.Run(fmt.Sprintf("%d hosts, %d services", size.hosts, size.services), func(b *testing.B) {
 			hosts, zones := newTestFleet(size.hosts)
 			for b.Loop() {
-				plan := gates.NewPlan(gates.NewFleet(hosts, zones), 87)
-				for m := range 3 * size.services {
+				plan := gates.NewPlan(gates.NewFleet(hosts, zones), benchConnections)
+				for m := range membersPerService * size.services {
 					plan.For(gates.Member{ID: fmt.Sprint("member-", m), Zone: fmt.Sprint("zone-", m%6), Slots: 2}, hosts[0].Name)
 				}
 			}
@@ -23,8 +23,14 @@
 	}
 }
 
-// newTestFleet returns hosts spread over six zones in three regions, and the zones'
-// regions.
+const (
+	// benchConnections is the number of connections that each member accepts.
+	benchConnections  = 87
+	membersPerService = 3
+)
+
+// newTestFleet returns hosts spread over six zones in three regions, and the region of
+// each zone.
 func newTestFleet(count int) ([]gates.Host, map[string]string) {
 	regionOf := map[string]string{}
 	var hosts []gates.Host
@@ -42,11 +48,12 @@
 	for _, size := range []struct{ hosts, services int }{{30, 4}, {300, 20}, {5000, 1000}} {
 		b.Run(fmt.Sprintf("%d hosts, %d services", size.hosts, size.services), func(b *testing.B) {
 			hosts, zones := newTestFleet(size.hosts)
+			// Only a fleet returned by Next has the generation that the cache needs.
 			fleet := gates.NewFleet(nil, zones).Next(hosts)
 			shares := gates.NewShareCache(hosts[0].Name)
 			computeShares := func(f gates.Fleet) {
-				plan := gates.NewPlan(f, 87)
-				for m := range 3 * size.services {
+				plan := gates.NewPlan(f, benchConnections)
+				for m := range membersPerService * size.services {
 					shares.For(plan, gates.Member{ID: fmt.Sprint("member-", m), Zone: fmt.Sprint("zone-", m%6), Slots: 2})
 				}
 			}
--- a/core/gates/plan_test.go
+++ b/core/gates/plan_test.go
@@ -127,15 +127,15 @@
 func TestConnectionsAreReservedForRestartingFleet(t *testing.T) {
 	hosts := fleet("a1", "a1", "a1", "a1", "a2", "a2", "b1", "b1")
 	plan := gates.NewPlan(gates.NewFleet(hosts, regions), 33)
-	pooled, busy := 0, 0
+	pooled, active := 0, 0
 	for _, h := range hosts {
 		if s := plan.For(gates.Member{ID: "m", Zone: "a1", Slots: 2}, h.Name); len(s.GateAddresses) == 0 {
 			pooled += s.Limits.MaxOpen
-			busy += s.Limits.MaxActive
+			active += s.Limits.MaxActive
 		}
 	}
 	require.Equal(t, 27, pooled)
-	require.LessOrEqual(t, busy, 22)
+	require.LessOrEqual(t, active, 22)
 }
 
 // TestTeamIsRoutedToOneGate checks that all hosts send a team's statements to the same
--- a/core/gates/share_cache.go
+++ b/core/gates/share_cache.go
@@ -7,7 +7,7 @@
 // is not safe for concurrent use.
 type ShareCache struct {
 	host string
-	// generation is that of the fleet for which the rankings were computed.
+	// generation is the generation of the fleet that the rankings were computed from.
 	generation uint64
 	byMember   map[string]*cachedShare
 }
--- a/core/health/gates.go
+++ b/core/health/gates.go
@@ -3,8 +3,9 @@
 import "time"
 
 const (
-	// A gate that failed a call is not used for a backoff period, which doubles with
-	// each further failure: each retry costs a caller the time of a dial.
+	// initialBackoff is how long a gate that failed a call is not used. The backoff
+	// doubles with each further failure, up to maxBackoff, because each retry costs a
+	// caller the time of a dial.
 	initialBackoff = 400 * time.Millisecond
 	maxBackoff     = 5 * time.Second
 	// GateSilenceTimeout is how long a gate with outstanding calls may stay silent
@@ -15,15 +16,14 @@
 	// it is sent a liveness probe (one datagram). It leaves a read enough of a 500 ms
 	// latency objective to run on another gate.
 	GateProbeDelay = 150 * time.Millisecond
-	// GateLostTimeout is how long a gate may be silent before statements that cannot
-	// be repeated on another gate are abandoned too. It is longer than most process
-	// pauses and leaves callers time to restart a transaction.
+	// GateLostTimeout is how long a gate may be silent before the host stops waiting
+	// for statements that cannot be repeated on another gate. It is longer than most
+	// process pauses and leaves callers time to restart a transaction.
 	GateLostTimeout = 2 * time.Second
 )
 
-// GateDetector tracks the liveness of gates by address. A gate is a host that holds
-// pooled connections to a member and runs other hosts' statements on them.
-// GateDetector is not safe for concurrent use.
+// GateDetector tracks the liveness of gates by address. It is not safe for concurrent
+// use.
 type GateDetector struct {
 	byAddress map[string]*gateState
 }
@@ -33,8 +33,8 @@
 	// silentSince is the time of the latest answer or of the start of the oldest
 	// outstanding call, whichever is later.
 	silentSince time.Duration
-	// backoff is the latest backoff period, which ends at backoffUntil; both are zero
-	// after an answered call.
+	// backoff is the length of the latest backoff, which ends at backoffUntil; both are
+	// zero after an answered call.
 	backoffUntil, backoff time.Duration
 }
 
--- a/core/health/health.go
+++ b/core/health/health.go
@@ -1,5 +1,5 @@
 // Package health implements failure detectors for database members and gates, based
-// on the host's own exchanges with them.
+// on the host's own exchanges with them. Package core/gates defines gates.
 package health
 
 import "time"
@@ -7,23 +7,24 @@
 const (
 	// RefusedTimeout is how long a member must refuse connections to count as dead.
 	// A refusal proves that nothing listens on the port, so the timeout only has to
-	// cover a restart of the listener, and a failover takes a majority of the voters.
+	// cover a restart of the listener.
 	RefusedTimeout = 100 * time.Millisecond
 	// BrokenTimeout replaces RefusedTimeout if some of the failures are broken
 	// connections: a member that is up may reset all of them at once.
 	BrokenTimeout = 250 * time.Millisecond
 	// MaxSilenceTimeout is how long a member must be silent to count as dead; a
-	// timeout derived from its recent pauses may be shorter. It is several times the
-	// queueing delay of a member under full load.
+	// timeout derived from its recent pauses may be shorter. It exceeds the queueing
+	// delay of a member under full load.
 	MaxSilenceTimeout = 1200 * time.Millisecond
 	// CorroboratedSilenceTimeout replaces MaxSilenceTimeout after an exchange that
 	// timed out, if another host has reported the member dead. It covers one
 	// connection attempt.
 	CorroboratedSilenceTimeout = 500 * time.Millisecond
-	// minFailures is the number of consecutive refused or broken connections, and
-	// minUnanswered that of unanswered requests, needed to declare a member dead: a
-	// single packet may be lost.
-	minFailures   = 2
+	// minFailures is the number of consecutive refused or broken connections needed
+	// to declare a member dead, since a single packet may be lost.
+	minFailures = 2
+	// minUnanswered is the number of unanswered requests needed to declare a member
+	// dead.
 	minUnanswered = 2
 	// EvidenceTTL is how long a failed exchange counts if no other one follows. It is
 	// longer than the statement timeout.
@@ -61,8 +62,8 @@
 
 // ExpireEvidence drops failures and unanswered requests once the latest exchange is
 // older than EvidenceTTL. It is for hosts that reach the member only through gates:
-// without it, a failed connection attempt would keep the member suspect for good,
-// as no later exchange clears it.
+// without it, a failed connection attempt would keep the member suspect forever, as
+// no later exchange clears it.
 func (d *MemberDetector) ExpireEvidence(now time.Duration) {
 	if now-d.lastExchange < EvidenceTTL {
 		return
--- a/core/health/silence.go
+++ b/core/health/silence.go
@@ -10,9 +10,9 @@
 	// the queueing delay of a member whose queue is full, plus a round trip between
 	// regions.
 	minSuspectDelay = 150 * time.Millisecond
-	// dialSilenceTimeout is the timeout if only connection attempts are unanswered. The
-	// kernel of the member's machine accepts connections without queueing, so a few
-	// round trips between regions are enough.
+	// dialSilenceTimeout is the timeout if only connection attempts are unanswered. It
+	// is shorter, because the kernel of the member's machine accepts connections
+	// whatever the load of the database.
 	dialSilenceTimeout = 300 * time.Millisecond
 	// minSilenceTimeout is the shortest silence after which a member with unanswered
 	// requests counts as dead: a failover costs callers more than a shorter stall.
@@ -27,10 +27,10 @@
 // between its recent answers. It detects a machine that fails under load sooner than
 // the timeouts of the outstanding statements. Any answer resets it.
 type silenceDetector struct {
-	// since is the time of the first request sent after the latest answer. unanswered
-	// counts the requests and connection attempts since then, pendingDials only the
-	// connection attempts.
-	since                    time.Duration
+	// since is the time of the first request sent after the latest answer.
+	since time.Duration
+	// unanswered counts the requests and connection attempts since then, and
+	// pendingDials only the connection attempts.
 	unanswered, pendingDials int
 	// maxPause is the longest pause before an answer, decayed up to lastAnswer.
 	maxPause, lastAnswer time.Duration
--- a/core/health/silence_test.go
+++ b/core/health/silence_test.go
@@ -52,7 +52,7 @@
 }
 
 // A single unanswered request makes a member suspect but not dead.
-func TestSingleUnansweredRequestIsNotDeath(t *testing.T) {
+func TestSingleUnansweredRequestMakesMemberSuspect(t *testing.T) {
 	var d health.MemberDetector
 	d.RequestSent(time.Second)
 	require.True(t, d.Suspect(2*time.Second), "the member should be probed")
--- a/core/ledger/key.go
+++ b/core/ledger/key.go
@@ -26,7 +26,7 @@
 
 const uuidVersion = 7
 
-// fingerprintBytes is the length of the digest prefix in a fingerprint.
+// fingerprintBytes is the length of the digest prefix that Fingerprint returns.
 const fingerprintBytes = 16
 
 // Key is a valid idempotency key.
--- a/core/membership/host.go
+++ b/core/membership/host.go
@@ -1,13 +1,16 @@
-// Package membership tracks which other hosts are alive. Hosts learn of each other from
-// the platform's list, which lags, and correct it by direct probes and by rumours
-// piggybacked on those probes, as in SWIM (Das, Gupta and Motivala, 2002). The message
-// rate per host does not depend on the fleet's size. No decision that requires
-// agreement depends on membership: hosts that disagree only send work to a host that
-// refuses it.
+// Package membership tracks which other hosts are alive. It serves the hosts of
+// PostgreSQL groups; package core/roster tracks the hosts on the users' platform. The
+// rendezvous hashing in this package serves both.
+//
+// Hosts learn of each other from a list in the service registry, which lags, and correct
+// it by direct probes and by rumours piggybacked on those probes, as in SWIM (Das, Gupta
+// and Motivala, 2002). The message rate per host does not depend on the fleet's size. No
+// decision that requires agreement depends on membership: hosts that disagree only send
+// work to a host that refuses it.
 package membership
 
-// State is the state that a host is believed to be in. Within one incarnation the
-// higher state takes precedence.
+// State is the assumed state of a host. Within one incarnation the higher state takes
+// precedence.
 type State uint8
 
 // The states of a host, in ascending order of precedence.
--- a/core/membership/membership_test.go
+++ b/core/membership/membership_test.go
@@ -71,8 +71,8 @@
 		for _, h := range a.TakeRumours() {
 			b.Merge(h, now)
 		}
-		if believed, found := a.Host(b.Self().ID); found && believed.State != membership.Alive {
-			b.Merge(believed, now)
+		if known, found := a.Host(b.Self().ID); found && known.State != membership.Alive {
+			b.Merge(known, now)
 		}
 	}
 	deliver(from, to)
@@ -159,7 +159,7 @@
 	require.Len(t, r.Reachable(), 2)
 }
 
-// TestHostMissingFromTheListIsNotDead covers the lag of the platform's list.
+// TestHostMissingFromTheListIsNotDead covers the lag of the service registry's list.
 func TestHostMissingFromTheListIsNotDead(t *testing.T) {
 	r := membership.NewRoster(host(0), membership.DefaultTiming(), 1)
 	r.Merge(host(1), 0)
--- a/core/membership/roster.go
+++ b/core/membership/roster.go
@@ -78,7 +78,7 @@
 	return r.filter(func(s State) bool { return s == Dead })
 }
 
-// Reachable returns the hosts believed to be running, including those that are leaving.
+// Reachable returns the hosts that are not dead, including those that are leaving.
 func (r *Roster) Reachable() []Host {
 	return r.filter(func(s State) bool { return s != Dead })
 }
@@ -114,15 +114,15 @@
 	r.enqueueRumour(h.ID)
 }
 
-// MergeList applies the platform's list. The list lags, so a host that is missing from
-// it is not considered dead.
+// MergeList applies the list of the service registry. The list lags, so a host that is
+// missing from it is not considered dead.
 func (r *Roster) MergeList(list []Host, now time.Duration) {
 	for _, h := range list {
 		r.Merge(h, now)
 	}
 }
 
-// refute raises this host's incarnation if others believe it to be in a worse state.
+// refute raises this host's incarnation if others assume that it is in a worse state.
 func (r *Roster) refute(h Host, now time.Duration) {
 	if !h.supersedes(r.self) {
 		return
@@ -199,8 +199,8 @@
 	}
 }
 
-// deadProbeInterval makes every n-th probe go to a dead host, so that the two sides of
-// a healed partition find each other again.
+// deadProbeInterval is the number of probes of which one goes to a dead host, so that
+// the two sides of a healed partition find each other again.
 const deadProbeInterval = 4
 
 // NextProbe returns the host to probe next. Targets are taken round-robin in shuffled
--- a/core/membership/timing.go
+++ b/core/membership/timing.go
@@ -17,8 +17,8 @@
 // smallFleetHosts is the fleet size up to which hosts probe at the shortest interval.
 const smallFleetHosts = 32
 
-// ProbePeriodFor returns the probe interval for a fleet of the given size. In a large
-// fleet most of the traffic is rumours about failures, so hosts probe less often.
+// ProbePeriodFor returns the probe interval for a fleet of the given size. Hosts of a
+// large fleet probe less often, because their messages carry more rumours.
 func (t Timing) ProbePeriodFor(hosts int) time.Duration {
 	const largeFleetFactor = 5
 	if hosts <= smallFleetHosts {
--- a/core/quota/bucket.go
+++ b/core/quota/bucket.go
@@ -15,8 +15,8 @@
 const (
 	// burstShare is the share of a window's limit that is granted at once.
 	burstShare = 0.05
-	// minBurst lets a team with a low rate run some operations at once, up to
-	// maxBurstShare of its limit.
+	// minBurst is the number of operations that a team with a low rate may run at once
+	// if they are no more than maxBurstShare of its limit.
 	minBurst      = 3
 	maxBurstShare = 0.2
 	// epsilon compensates for rounding errors in sums of fractional tokens.
--- a/core/quota/counter_test.go
+++ b/core/quota/counter_test.go
@@ -177,9 +177,9 @@
 	})
 }
 
-// TestHostAsksItsOwnRegionFirst checks the order of counters: requests to other regions
+// TestOwnRegionsCounterIsRankedFirst checks the order of counters: requests to other regions
 // are slower and their traffic is more expensive.
-func TestHostAsksItsOwnRegionFirst(t *testing.T) {
+func TestOwnRegionsCounterIsRankedFirst(t *testing.T) {
 	var hosts []quota.Host
 	for i := range 30 {
 		hosts = append(hosts, quota.Host{Name: fmt.Sprint("h", i), Region: fmt.Sprint("region-", i%3)})
--- a/core/quota/doc.go
+++ b/core/quota/doc.go
@@ -32,8 +32,8 @@
 //     other hosts know.
 //   - A counter that has restarted or taken a team over starts with an empty bucket,
 //     so the burst is not granted a second time.
-//   - Times come from a monotonic clock that includes suspension; the wall clock is
-//     not used.
+//   - Times come from a monotonic clock that includes suspension, not from the wall
+//     clock.
 //
 // The bound does not hold while hosts disagree about which hosts are registered: two
 // hosts may act as the counter of a region until a registration has propagated. A host
--- a/core/quota/fleet_test.go
+++ b/core/quota/fleet_test.go
@@ -14,12 +14,13 @@
 )
 
 const (
-	// tick is the step of the simulation, requestTimeout how long a host waits for a
-	// response, and restartDelay how long a process takes to restart.
-	tick           = 10 * time.Millisecond
+	// tick is the step of the simulation.
+	tick = 10 * time.Millisecond
+	// requestTimeout is how long a host waits for a response.
 	requestTimeout = 60 * time.Millisecond
-	restartDelay   = 500 * time.Millisecond
-	team           = "schools"
+	// restartDelay is how long a process takes to restart.
+	restartDelay = 500 * time.Millisecond
+	team         = "schools"
 )
 
 // brokenRule is a rule of the protocol that a simulation breaks on purpose.
@@ -57,8 +58,8 @@
 	requestPending bool
 	sequence       int
 	wanted         int
-	// remaining are the counters that were not asked yet, and granted is the sum of the
-	// grants of the others.
+	// remaining are the counters to which no request was sent yet, and granted is the
+	// sum of the grants of the others.
 	remaining []string
 	granted   int
 }
@@ -178,8 +179,8 @@
 	}
 }
 
-// requestNext asks the next counter for what is not granted yet, and ends the request
-// if there is none.
+// requestNext requests from the next counter what is not granted yet, and ends the
+// request if no counter is left or everything is granted.
 func (s *simFleet) requestNext(h *simHost) {
 	if len(h.remaining) > 0 && h.granted < h.wanted {
 		h.sequence++
--- a/core/relay/selector.go
+++ b/core/relay/selector.go
@@ -21,11 +21,12 @@
 	// store. With fewer than three hosts per zone a relay saves few calls, and its
 	// failure delays changes.
 	MaxFleetWithoutRelays = 16
-	// HeartbeatInterval is how often a relay sends a heartbeat, and HeartbeatTimeout
-	// how long a follower waits for one. They are short enough that a change takes
-	// effect within 3 s even if a relay fails and the store must be listed again.
+	// HeartbeatInterval is how often a relay sends a heartbeat.
 	HeartbeatInterval = 400 * time.Millisecond
-	HeartbeatTimeout  = 1200 * time.Millisecond
+	// HeartbeatTimeout is how long a follower waits for a heartbeat. It is short enough
+	// that a change takes effect within 3 s even if a relay fails and the store must be
+	// listed again.
+	HeartbeatTimeout = 1200 * time.Millisecond
 	// StoreAnswerGrace is how much longer than one watch a relay may be without an
 	// answer of the store. After that its followers look for another source, as they
 	// may reach a store that the relay does not.
@@ -43,9 +44,9 @@
 	// relay off the store. More would delay a change beyond 3 s, as each may take
 	// HeartbeatTimeout to fail.
 	maxCandidates = 2
-	// FailoverDelay is the minimum delay before the next relay is followed, with up to
-	// as much random jitter. The next relay loses the first one at the same time and
-	// needs time to start its own watch; the jitter spreads the followers.
+	// FailoverDelay is the minimum delay before the next relay is followed; random
+	// jitter adds up to the same time. The next relay loses the first one at the same
+	// time and needs time to start its own watch; the jitter spreads the followers.
 	FailoverDelay = 50 * time.Millisecond
 )
 
--- a/core/relay/selector_test.go
+++ b/core/relay/selector_test.go
@@ -32,9 +32,9 @@
 	return out
 }
 
-// TestNumberOfWatchersDoesNotGrowWithTheFleet checks that one host of each zone watches
+// TestOneHostOfEachZoneWatches checks that one host of each zone watches
 // the store, whatever the number of hosts.
-func TestNumberOfWatchersDoesNotGrowWithTheFleet(t *testing.T) {
+func TestOneHostOfEachZoneWatches(t *testing.T) {
 	for _, each := range []int{5, 10, 100} {
 		w := watchers(fleetOf(6, each))
 		require.Len(t, w, 6)
--- a/core/roster/roster.go
+++ b/core/roster/roster.go
@@ -1,12 +1,13 @@
-// Package roster tracks which hosts are in the fleet, from their registrations in the
-// platform's store.
+// Package roster tracks which hosts are in the fleet on the users' platform, from their
+// registrations in the platform's store. Package core/membership tracks the hosts of
+// PostgreSQL groups.
 //
-// After the store is restored from a copy some seconds old, registrations may be
-// missing, expire soon, or belong to hosts that have left, and the hosts register again
-// within seconds. Applying these changes directly would move members' connections and
-// promotion locks between hosts and back. So a registration names the epoch of the
-// store in which it was written. After a restore, registrations of earlier epochs are
-// carried over until the live hosts have had time to register again.
+// After the store is restored from a backup, registrations may be missing, expire soon,
+// or belong to hosts that have left, and the hosts register again within seconds.
+// Applying these changes directly would move members' connections and promotion locks
+// between hosts and back. So a registration names the epoch of the store in which it
+// was written. After a restore, registrations of earlier epochs are carried over until
+// the live hosts have had time to register again.
 package roster
 
 import (
@@ -21,15 +22,15 @@
 
 const (
 	// MinCarryOver is the minimum time for which registrations of an earlier epoch are
-	// carried over: two renewal intervals of a host's lease. A host finds out at a
-	// renewal that it must register again.
+	// carried over: two renewal intervals of a host's lease, because a host finds out
+	// at a renewal that it must register again.
 	MinCarryOver = 6 * time.Second
 	// reregisterSpreadPerHost is the time per host over which the hosts of a fleet
-	// register again. At two writes per host that is 400 writes a second, a third of
-	// the rate limit of the store of a large fleet.
+	// register again. It keeps their writes, two per host, well below the rate limit
+	// of the store.
 	reregisterSpreadPerHost = 5 * time.Millisecond
-	// departedRetention is how long a departed host is remembered; a restored copy that
-	// still contains it is only some seconds old.
+	// departedRetention is how long a departed host is remembered. It exceeds the age
+	// of a backup that may still contain the host.
 	departedRetention = time.Minute
 )
 
@@ -127,7 +128,7 @@
 }
 
 // Remove applies the deletion of a registration. Carried-over registrations stay: the
-// lease may have expired only in the restored copy.
+// lease may have expired only in the restored store.
 func (r *Roster) Remove(name string, now time.Duration) {
 	if e, found := r.hosts[name]; !found || e.carriedOver() {
 		return
@@ -197,7 +198,7 @@
 
 // MayHaveNewerConfig reports whether other hosts may run a newer configuration than the
 // given version of the store: a host has registered with one, or the store was just
-// restored from a copy.
+// restored from a backup.
 func (r *Roster) MayHaveNewerConfig(version uint64) bool {
 	return r.ConfigVersion() > version || r.HasCarriedOver()
 }
--- a/core/roster/roster_test.go
+++ b/core/roster/roster_test.go
@@ -28,8 +28,8 @@
 	return out
 }
 
-// TestRestoreDoesNotChangeTheHosts restores a copy in which half of the leases have
-// expired: the hosts must stay the same before, during and after it.
+// TestRestoreDoesNotChangeTheHosts restores a backup in which half of the leases have
+// expired: the hosts must stay the same before, during and after the restore.
 func TestRestoreDoesNotChangeTheHosts(t *testing.T) {
 	const hosts = 74
 	r := roster.New()
@@ -46,7 +46,7 @@
 	r.Replace(restored, 2, 20*time.Second)
 	require.Equal(t, before, names(r))
 	r.Remove("host-0", 21*time.Second)
-	require.Equal(t, before, names(r), "a lease that expires in the restored copy")
+	require.Equal(t, before, names(r), "a lease that expires in the restored store")
 	for _, old := range all {
 		r.Put(reg(old.Host.Name, 2), 23*time.Second)
 		require.Equal(t, before, names(r))
@@ -88,7 +88,7 @@
 }
 
 // TestRestoreDoesNotReviveDepartedHost guards against routing statements to a host that
-// left after the copy was made.
+// left after the backup was made.
 func TestRestoreDoesNotReviveDepartedHost(t *testing.T) {
 	r := roster.New()
 	r.Replace([]roster.Registration{reg("a", 1), reg("b", 1)}, 1, time.Second)
@@ -99,8 +99,8 @@
 	require.Equal(t, []string{"a", "b"}, names(r), "the host has restarted")
 }
 
-// TestRegistrationOfEarlierEpochExpires covers a late write of an earlier epoch, under
-// a lease id that may belong to another host by now.
+// TestRegistrationOfEarlierEpochExpires covers a delayed write of an earlier epoch,
+// under a lease ID that may belong to another host by now.
 func TestRegistrationOfEarlierEpochExpires(t *testing.T) {
 	r := roster.New()
 	r.Replace([]roster.Registration{reg("a", 2)}, 2, time.Second)
@@ -160,14 +160,14 @@
 		all = append(all, reg(fmt.Sprint("host-", n), 1))
 	}
 	r.Replace(all, 1, time.Second)
-	asked := map[string]int{}
+	timesChosen := map[string]int{}
 	rng := rand.New(rand.NewPCG(1, 2))
 	for range hosts {
 		for _, h := range r.HostsWithNewestConfig(4, rng) {
-			asked[h.Name]++
+			timesChosen[h.Name]++
 		}
 	}
-	for name, times := range asked {
+	for name, times := range timesChosen {
 		require.LessOrEqual(t, times, 20, name)
 	}
 }
@@ -191,7 +191,7 @@
 			now += time.Duration(rapid.IntRange(1, 5).Draw(t, "time until the restore")) * time.Second
 			var restored []roster.Registration
 			for _, n := range live {
-				if rapid.Bool().Draw(t, "in the copy") {
+				if rapid.Bool().Draw(t, "in the backup") {
 					restored = append(restored, reg(n, restoredEpoch))
 				}
 			}
--- a/core/route/table.go
+++ b/core/route/table.go
@@ -1,6 +1,6 @@
-// Package route chooses the member that an entry host sends a request to, from
-// primary hints and measured latencies. The host that owns the member enforces
-// consistency, so a wrong choice only adds latency.
+// Package route chooses the member that a host sends a request of a caller to, from
+// primary hints and measured latencies. The host that owns the member's connection
+// pool enforces consistency, so a wrong choice only adds latency.
 package route
 
 import (
@@ -185,9 +185,9 @@
 }
 
 // ReadCandidates returns the members to try for a read, the one with the lowest cost
-// first. Each may wait as long as the next one would cost more, which bounds the
-// total at twice the cost of the better of waiting and moving on. A linearizable read
-// needs a majority round trip on any member, so it may always wait for
+// first. The read may wait for each by as much time as the next one would cost more,
+// so that the total is at most twice the cost of the better choice. A linearizable
+// read needs a majority round trip on any member, so it may always wait for
 // maxCatchUpWait.
 func (t *Table) ReadCandidates(now time.Duration, linearizable bool) []Candidate {
 	members := make([]*memberState, 0, len(t.members))
--- a/core/session/session.go
+++ b/core/session/session.go
@@ -29,7 +29,7 @@
 	ReadOnly bool
 	// Wrote is set once a transaction has sent a write.
 	Wrote bool
-	// abortReason is why the system aborted the transaction; it is reported to the
+	// abortReason is why the proxy aborted the transaction; it is reported to the
 	// caller once.
 	abortReason string
 	values      map[string]string
@@ -120,7 +120,7 @@
 }
 
 // refuseInFailedTransaction refuses a statement in a failed transaction. The first
-// refusal after the system aborted the transaction contains the reason.
+// refusal after the proxy aborted the transaction contains the reason.
 func (s *Session) refuseInFailedTransaction() statement.Answer {
 	if s.abortReason == "" {
 		return s.refuse(statement.Invalid, "the transaction has failed; roll it back")
@@ -152,7 +152,7 @@
 }
 
 // begin opens a transaction without an upstream. The upstream is chosen at the first
-// statement, so that no connection is held before it.
+// statement, so that the transaction occupies no connection before it.
 func (s *Session) begin(st statement.Statement) statement.Answer {
 	if s.State == statement.InTransaction {
 		return s.refuse(statement.Invalid, "a transaction is open already")
--- a/core/startup/fleet_stability.go
+++ b/core/startup/fleet_stability.go
@@ -4,11 +4,11 @@
 
 const (
 	// stablePeriod is how long the known fleet must not have grown by more than a
-	// tenth. Hosts that start together register and learn of each other within about
-	// 100 ms.
+	// tenth. It exceeds the time in which hosts that start together learn of each
+	// other.
 	stablePeriod = 150 * time.Millisecond
-	// maxStabilityWait is the longest wait for a stable fleet. Callers wait meanwhile;
-	// it is about twice the shortest latency objective.
+	// maxStabilityWait is the longest wait for a stable fleet, during which callers
+	// wait too.
 	maxStabilityWait = 600 * time.Millisecond
 )
 
@@ -19,6 +19,8 @@
 // any others at first. Without the wait, most hosts would become gates and open more
 // connections than the members accept. It is not safe for concurrent use.
 type FleetStability struct {
+	// firstSeenAt is the time of the first observation, and grownAt the time at which
+	// the fleet last grew by more than a tenth, to size.
 	firstSeenAt, grownAt time.Duration
 	size                 int
 	stable               bool
--- a/core/startup/fleet_stability_test.go
+++ b/core/startup/fleet_stability_test.go
@@ -14,7 +14,9 @@
 // Timing of a fleet restart with expired registrations: hosts list the store over 180
 // ms, register 20 ms later, and learn of each other 100 ms after that.
 const (
-	fleetSize         = 295
+	fleetSize = 295
+	// memberConnections is the number of connections that the member accepts.
+	memberConnections = 87
 	listingSpread     = 180 * time.Millisecond
 	registrationDelay = 20 * time.Millisecond
 	propagationDelay  = 100 * time.Millisecond
@@ -41,7 +43,7 @@
 func countGates(serveFrom func(i int) time.Duration) int {
 	count := 0
 	for i := range fleetSize {
-		plan := gates.NewPlan(gates.NewFleet(knownTo(i, serveFrom(i)), nil), 87)
+		plan := gates.NewPlan(gates.NewFleet(knownTo(i, serveFrom(i)), nil), memberConnections)
 		if share := plan.For(gates.Member{ID: "member", Zone: "zone-0", Slots: 2}, fmt.Sprint("host-", i)); len(share.GateAddresses) == 0 {
 			count++
 		}
--- a/core/startup/startup.go
+++ b/core/startup/startup.go
@@ -10,12 +10,10 @@
 import "time"
 
 const (
-	// configTimeout is how long after its start a host expects its configuration. It
-	// usually arrives within half a second of the store's return; longer outages of the
-	// store last many seconds.
+	// configTimeout is how long after its start a host expects its configuration.
 	configTimeout = 4 * time.Second
-	// maxLoginWait is the longest wait of one login. The platform's callers disconnect
-	// after 2 s; the rest is a margin for network and scheduling delays.
+	// maxLoginWait is the longest wait of one login. It leaves a margin for network and
+	// scheduling delays before the platform's callers disconnect, after 2 s.
 	maxLoginWait = 1500 * time.Millisecond
 )
 
--- a/core/startup/startup_test.go
+++ b/core/startup/startup_test.go
@@ -34,10 +34,10 @@
 	return served
 }
 
-// TestCallersOfAFleetThatLostPowerAreServed compares callers that are rejected
+// TestCallersAreServedAfterPowerLoss compares callers that are rejected
 // immediately with callers that wait: without waiting, many use up their attempts
 // before the configuration arrives.
-func TestCallersOfAFleetThatLostPowerAreServed(t *testing.T) {
+func TestCallersAreServedAfterPowerLoss(t *testing.T) {
 	servedWithoutWait := servedAfterPowerLoss(func(now time.Duration) time.Duration { return now })
 	servedWithWait := servedAfterPowerLoss(func(now time.Duration) time.Duration { return startup.LoginDeadline(started, now) })
 	require.Less(t, servedWithoutWait, 75)
--- a/core/statement/answer.go
+++ b/core/statement/answer.go
@@ -19,8 +19,9 @@
 // Code is the result code of a statement.
 type Code uint8
 
-// The codes. Busy to UnknownStatement guarantee that the attempt had no effect; the
-// later codes do not.
+// The codes. Their order is part of the protocol between hosts. Busy to
+// UnknownStatement guarantee that the attempt had no effect; the later codes do not.
+// Package outcome has the codes that callers see.
 const (
 	// OK means that the statement succeeded.
 	OK Code = iota
