--- a/core/admit/queue_test.go
+++ b/core/admit/queue_test.go
@@ -99,6 +99,7 @@
 			case 2:
 				if len(running) > 0 {
 					running = running[1:]
+					// The requests take longer than their expected cost.
 					recordDispatch(q.Done(3, now))
 				}
 			case 3:
--- a/core/catalog/catalog.go
+++ b/core/catalog/catalog.go
@@ -1,5 +1,5 @@
 // Package catalog holds the configuration of databases: the service that each
-// database belongs to, its consistency level and who may use it.
+// database belongs to, its consistency level and the callers that may use it.
 package catalog
 
 import "time"
--- a/core/catalog/team.go
+++ b/core/catalog/team.go
@@ -26,7 +26,7 @@
 	byCredential map[Credential]Team
 }
 
-// DuplicateKeyError reports a key that two teams hold, so that it does not
+// DuplicateKeyError reports a key that two teams have, so that it does not
 // identify the caller's team.
 type DuplicateKeyError struct {
 	Fingerprint   string
@@ -61,7 +61,7 @@
 	return t, nil
 }
 
-// Identify returns the team that holds a credential.
+// Identify returns the team that a credential belongs to.
 func (t *Teams) Identify(c Credential) (Team, bool) {
 	if t == nil {
 		return Team{}, true
--- a/core/classify/statement.go
+++ b/core/classify/statement.go
@@ -40,7 +40,7 @@
 	if len(tokens) == 0 {
 		return Empty
 	}
-	if slices.ContainsFunc(tokens, func(word string) bool { return slices.Contains(pinningFunctions, word) }) {
+	if slices.ContainsFunc(tokens, func(token string) bool { return slices.Contains(pinningFunctions, token) }) {
 		return Pinning
 	}
 	if slices.Contains(pinningKeywords, tokens[0]) {
@@ -84,11 +84,11 @@
 	return Begin
 }
 
-// queryKind distinguishes read-only queries from those that lock or write. The word
-// FOR alone does not indicate a lock, as in SUBSTRING(x FOR n).
+// queryKind distinguishes read-only queries from those that lock or write. FOR alone
+// does not indicate a lock, as in SUBSTRING(x FOR n).
 func queryKind(tokens []string) Kind {
-	for _, word := range tokens {
-		if slices.Contains(writeKeywords, word) {
+	for _, token := range tokens {
+		if slices.Contains(writeKeywords, token) {
 			return Write
 		}
 	}
--- a/core/connpool/pool_test.go
+++ b/core/connpool/pool_test.go
@@ -231,7 +231,7 @@
 		next := uint64(0)
 		inUse := map[connpool.ConnID]bool{}
 		opening := 0
-		take := func(id connpool.ConnID) {
+		markInUse := func(id connpool.ConnID) {
 			if inUse[id] {
 				t.Fatalf("connection %d is assigned twice", id)
 			}
@@ -254,7 +254,7 @@
 			switch op := rapid.IntRange(0, 5).Draw(t, "step"); {
 			case op <= 1:
 				if d := p.Acquire(waiter(next, int(next%3), now+100*ms, now+time.Second), now); d.Outcome == connpool.Granted {
-					take(d.Conn)
+					markInUse(d.Conn)
 				}
 				for beginOpen(p, now) {
 					opening++
@@ -264,13 +264,13 @@
 				if rapid.Bool().Draw(t, "fails") {
 					p.OpenFailed("", rapid.Bool().Draw(t, "at limit"), now)
 				} else if _, found := p.Opened(connpool.Conn{ID: connpool.ConnID(next)}, now); found {
-					take(connpool.ConnID(next))
+					markInUse(connpool.ConnID(next))
 				}
 			case op == 3 && len(inUse) > 0:
 				id := lowestInUse()
 				delete(inUse, id)
 				if _, found := p.Released(connpool.Conn{ID: id}, ms, now); found {
-					take(id)
+					markInUse(id)
 				}
 			case op == 4 && len(inUse) > 0:
 				delete(inUse, lowestInUse())
--- a/core/connpool/team_test.go
+++ b/core/connpool/team_test.go
@@ -148,7 +148,7 @@
 		var opening []connpool.Conn
 		next := connpool.ConnID(0)
 		now := time.Duration(0)
-		take := func(id connpool.ConnID, w connpool.Waiter) {
+		markInUse := func(id connpool.ConnID, w connpool.Waiter) {
 			if teamOf[id] != w.Team {
 				t.Fatalf("a statement of %s runs on a connection of %s", w.Team, teamOf[id])
 			}
@@ -161,7 +161,7 @@
 				w := teamWaiter(uint64(step), fmt.Sprint("team-", rapid.IntRange(0, 4).Draw(t, "team")))
 				w.TargetDeadline, w.OnTimeUntil, w.StartDeadline = now+500*ms, now+250*ms, now+time.Second
 				if d := p.Acquire(w, now); d.Outcome == connpool.Granted {
-					take(d.Conn, w)
+					markInUse(d.Conn, w)
 				}
 			case 2:
 				if len(opening) > 0 {
@@ -169,7 +169,7 @@
 					opening = opening[1:]
 					teamOf[c.ID] = c.Team
 					if w, found := p.Opened(c, now); found {
-						take(c.ID, w)
+						markInUse(c.ID, w)
 					}
 				}
 			case 3:
@@ -179,7 +179,7 @@
 					if rapid.Bool().Draw(t, "broken") {
 						p.Closed(teamOf[id])
 					} else if w, found := p.Released(connpool.Conn{ID: id, Team: teamOf[id]}, ms, now); found {
-						take(id, w)
+						markInUse(id, w)
 					}
 				}
 			}
@@ -188,7 +188,7 @@
 				if !found {
 					break
 				}
-				take(id, w)
+				markInUse(id, w)
 			}
 			for {
 				request, due := p.BeginOpen(now)
--- a/core/exectime/exectime.go
+++ b/core/exectime/exectime.go
@@ -1,5 +1,5 @@
-// Package exectime estimates how much longer one kind of statement executes on a
-// member than another.
+// Package exectime estimates by how much the execution times of different kinds of
+// statements on a member differ.
 //
 // A host observes only response times, which include the wait in the member's
 // queue. Kinds of statements that run during the same period see the same queueing
--- a/core/feature/feature.go
+++ b/core/feature/feature.go
@@ -15,7 +15,7 @@
 // other hosts' statements on them. A floor is the log position that a replica must
 // have applied to serve a read.
 const (
-	// Gates lets a few hosts hold the connections to a member for all hosts.
+	// Gates lets a few hosts pool the connections to a member for all hosts.
 	Gates Name = "gates"
 	// Relays lets one host per availability zone watch the store for the others.
 	Relays Name = "relays"
--- a/core/fresh/floors_test.go
+++ b/core/fresh/floors_test.go
@@ -36,7 +36,7 @@
 	require.True(t, found)
 	require.Equal(t, pos(4, 90), p)
 	f.Observe(pos(3, 120), 12*second)
-	require.Equal(t, logpos.Term(4), f.Term(), "a late answer of the old primary is ignored")
+	require.Equal(t, logpos.Term(4), f.Term(), "a delayed answer of the old primary is ignored")
 }
 
 func TestSessionOfUnknownTermHasNoFloor(t *testing.T) {
@@ -135,7 +135,7 @@
 	require.Equal(t, pos(1, 38), p, "a read must not require rolled back entries")
 	f.Observe(pos(1, 39), 12*second)
 	p, _ = f.Lookup(0, logpos.Position{})
-	require.Equal(t, pos(1, 38), p, "a late answer of the old primary is ignored")
+	require.Equal(t, pos(1, 38), p, "a delayed answer of the old primary is ignored")
 	f.ObserveInTerm(2, pos(2, 39), 13*second)
 	p, _ = f.Lookup(12*second, pos(2, 40))
 	require.Equal(t, pos(2, 40), p)
--- a/core/group/view.go
+++ b/core/group/view.go
@@ -140,7 +140,7 @@
 	return st, found && st.GrantedTerm == v.HighestTerm()
 }
 
-// CommittedOffset returns the largest offset that a majority holds in the given
+// CommittedOffset returns the largest offset that a majority has in the given
 // term. Entries of older terms count only once a majority has a later entry of
 // this term, and a member that is known to have granted a newer term does not
 // count. A replica's position is the later of its own answer and its
--- a/core/relay/selector.go
+++ b/core/relay/selector.go
@@ -32,8 +32,8 @@
 	// may reach a store that the relay does not.
 	StoreAnswerGrace = 500 * time.Millisecond
 	// RetryAfterTimeout is how long a relay that timed out or was unreachable is
-	// skipped. A dead host disappears from the list of hosts when its lease of 6 s
-	// expires.
+	// skipped. It exceeds the lease of 6 s with which a dead host disappears from the
+	// list of hosts.
 	RetryAfterTimeout = 8 * time.Second
 	// RetryAfterRefusal is how long a relay that refused to relay is skipped: it is
 	// stopping or has no connection to the store. The delay is short because hosts that
--- a/core/statement/answer.go
+++ b/core/statement/answer.go
@@ -9,10 +9,10 @@
 const (
 	// Idle means that no transaction is open.
 	Idle TxState = iota
-	// Open means that a transaction is in progress.
+	// InTransaction means that a transaction is open.
 	InTransaction
-	// Failed means that a statement of the open transaction failed, so that only its
-	// end is accepted.
+	// TransactionFailed means that a statement of the open transaction failed, so that
+	// only a commit or rollback is accepted.
 	TransactionFailed
 )
 
--- a/core/store/revision.go
+++ b/core/store/revision.go
@@ -9,8 +9,8 @@
 type Revision uint64
 
 const (
-	// numberBits is the number of low bits that hold the change number, enough for
-	// 29 years at 1,200 changes per second. The high bits hold the epoch.
+	// numberBits is the number of low bits that hold the change number. The high bits
+	// hold the epoch.
 	numberBits = 40
 	maxNumber  = 1<<numberBits - 1
 	maxEpoch   = 1<<(64-numberBits) - 1
--- a/core/succession/lock.go
+++ b/core/succession/lock.go
@@ -4,7 +4,7 @@
 
 // Lock is the promotion lock of a service in the platform's store. Its revision
 // is the fencing token of the holder: each acquisition returns a higher one,
-// also after the store has been restored from an older copy, and the platform
+// also after the store has been restored from a backup, and the platform
 // refuses calls with an older token.
 //
 // The holder leads the promotions of the service for as long as its lease runs,
--- a/core/token/token_test.go
+++ b/core/token/token_test.go
@@ -38,7 +38,7 @@
 	})
 }
 
-// Decode must return an error for a token with one changed character.
+// TestDecodeDetectsCorruption changes one character of a token.
 func TestDecodeDetectsCorruption(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		text := randomToken(t).Encode()
