--- a/core/statement/answer.go
+++ b/core/statement/answer.go
@@ -21,7 +21,7 @@
 
 // The codes. Their order is part of the protocol between hosts. Busy to
 // UnknownStatement guarantee that the attempt had no effect; the later codes do not.
-// Package outcome has the codes that callers see.
+// Callers see the codes of package outcome instead.
 const (
 	// OK means that the statement succeeded.
 	OK Code = iota
