--- a/core/connpool/pool_test.go
+++ b/core/connpool/pool_test.go
@@ -56,9 +56,9 @@
 	require.Equal(t, 1, p.Open())
 }
 
-// TestSpareConnectionsExpire checks that connections that a lightly loaded host does not
+// TestExtraConnectionsExpire checks that connections that a lightly loaded host does not
 // need are closed. Otherwise they use up the member's limit if the host crashes.
-func TestSpareConnectionsExpire(t *testing.T) {
+func TestExtraConnectionsExpire(t *testing.T) {
 	p := connpool.New(connpool.Limits{MaxOpen: 7, FairShare: 7, MaxWaiting: 10})
 	openInUse(t, p, 7)
 	for id := range 7 {
@@ -76,8 +76,8 @@
 	require.Empty(t, p.ExpireIdle(now+time.Second), "the last connection stays open")
 }
 
-// TestBacksOffFromMemberAtLimit checks the pause after a member refused a connection:
-// every refused attempt costs the member time.
+// TestBacksOffFromMemberAtLimit checks that no connection is opened for a while after a
+// member refused one because of its limit.
 func TestBacksOffFromMemberAtLimit(t *testing.T) {
 	p := connpool.New(smallLimits)
 	p.Acquire(waiter(1, 0, time.Hour, time.Hour), 0)
@@ -175,9 +175,9 @@
 	require.Equal(t, 13, kept)
 }
 
-// TestLateStatementIsNotStartedPastUsefulTime checks that a late statement is refused if
+// TestLateStatementIsNotStartedTooLateToFinish checks that a late statement is refused if
 // the member's response time of 130 ms makes a response in time unlikely.
-func TestLateStatementIsNotStartedPastUsefulTime(t *testing.T) {
+func TestLateStatementIsNotStartedTooLateToFinish(t *testing.T) {
 	p := connpool.New(connpool.Limits{MaxOpen: 1, FairShare: 1, MaxWaiting: 100})
 	openInUse(t, p, 1)
 	for range 200 {
@@ -192,7 +192,7 @@
 	require.Equal(t, 250*ms, refusedAt(p, w, 0), "an on-time statement is always started")
 }
 
-func TestOrderOfService(t *testing.T) {
+func TestServesByPriorityThenDeadline(t *testing.T) {
 	p := connpool.New(connpool.Limits{MaxOpen: 1, FairShare: 1, MaxWaiting: 10})
 	openInUse(t, p, 1)
 	late := waiter(1, 2, 50*ms, time.Hour)
@@ -231,7 +231,7 @@
 		next := uint64(0)
 		inUse := map[connpool.ConnID]bool{}
 		opening := 0
-		take := func(id connpool.ConnID) {
+		markInUse := func(id connpool.ConnID) {
 			if inUse[id] {
 				t.Fatalf("connection %d is assigned twice", id)
 			}
@@ -254,7 +254,7 @@
 			switch op := rapid.IntRange(0, 5).Draw(t, "step"); {
 			case op <= 1:
 				if d := p.Acquire(waiter(next, int(next%3), now+100*ms, now+time.Second), now); d.Outcome == connpool.Granted {
-					take(d.Conn)
+					markInUse(d.Conn)
 				}
 				for beginOpen(p, now) {
 					opening++
@@ -264,13 +264,13 @@
 				if rapid.Bool().Draw(t, "fails") {
 					p.OpenFailed("", rapid.Bool().Draw(t, "at limit"), now)
 				} else if _, found := p.Opened(connpool.Conn{ID: connpool.ConnID(next)}, now); found {
-					take(connpool.ConnID(next))
+					markInUse(connpool.ConnID(next))
 				}
 			case op == 3 && len(inUse) > 0:
 				id := lowestInUse()
 				delete(inUse, id)
 				if _, found := p.Released(connpool.Conn{ID: id}, ms, now); found {
-					take(id)
+					markInUse(id)
 				}
 			case op == 4 && len(inUse) > 0:
 				delete(inUse, lowestInUse())
