--- a/node/edge/gateway.go
+++ b/node/edge/gateway.go
@@ -13,7 +13,7 @@
 	"github.com/dotterelswitch/dotterelswitch/core/statement"
 	"github.com/dotterelswitch/dotterelswitch/node/clock"
 	"github.com/dotterelswitch/dotterelswitch/node/eventlog"
-	"github.com/dotterelswitch/dotterelswitch/node/quietlog"
+	"github.com/dotterelswitch/dotterelswitch/node/noplog"
 )
 
 // Config holds the limits of a gateway.
@@ -62,7 +62,7 @@
 // Run serves callers until Stop.
 func (g *Gateway) Run() error {
 	return gnet.Run(g, "tcp://"+g.cfg.Address,
-		gnet.WithReuseAddr(true), gnet.WithTCPNoDelay(gnet.TCPNoDelay), gnet.WithLogger(quietlog.Logger{}))
+		gnet.WithReuseAddr(true), gnet.WithTCPNoDelay(gnet.TCPNoDelay), gnet.WithLogger(noplog.Logger{}))
 }
 
 // Listening returns a channel that is closed once the gateway accepts connections.
--- a/node/gateway/gateway.go
+++ b/node/gateway/gateway.go
@@ -20,7 +20,7 @@
 	"github.com/dotterelswitch/dotterelswitch/core/outcome"
 	"github.com/dotterelswitch/dotterelswitch/node/eventlog"
 	"github.com/dotterelswitch/dotterelswitch/node/metrics"
-	"github.com/dotterelswitch/dotterelswitch/node/quietlog"
+	"github.com/dotterelswitch/dotterelswitch/node/noplog"
 	"github.com/dotterelswitch/dotterelswitch/node/router"
 )
 
@@ -82,7 +82,7 @@
 func (g *Gateway) Run() error {
 	return gnet.Run(g, "tcp://"+g.cfg.Address,
 		gnet.WithMulticore(true), gnet.WithTicker(true), gnet.WithReuseAddr(true),
-		gnet.WithTCPNoDelay(gnet.TCPNoDelay), gnet.WithLogger(quietlog.Logger{}))
+		gnet.WithTCPNoDelay(gnet.TCPNoDelay), gnet.WithLogger(noplog.Logger{}))
 }
 
 // Listening returns a channel that is closed once the gateway accepts connections.
--- a/node/netcount/counter.go
+++ b/node/netcount/counter.go
@@ -26,22 +26,22 @@
 		if err != nil {
 			return nil, err
 		}
-		return &countedConn{Conn: conn, counter: c}, nil
+		return &countingConn{Conn: conn, counter: c}, nil
 	}
 }
 
-type countedConn struct {
+type countingConn struct {
 	net.Conn
 	counter *Counter
 }
 
-func (c *countedConn) Read(b []byte) (int, error) {
+func (c *countingConn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
 	c.counter.received.Add(int64(n))
 	return n, err
 }
 
-func (c *countedConn) Write(b []byte) (int, error) {
+func (c *countingConn) Write(b []byte) (int, error) {
 	n, err := c.Conn.Write(b)
 	c.counter.sent.Add(int64(n))
 	return n, err
--- a/node/quietlog/logger.go
+++ b/node/noplog/logger.go
@@ -1,5 +1,5 @@
-// Package quietlog provides a logger that silences libraries.
-package quietlog
+// Package noplog provides a logger that discards the log output of libraries.
+package noplog
 
 // Logger discards everything. It implements the Logger interface of gnet.
 type Logger struct{}
