--- a/node/entry/entry.go
+++ b/node/entry/entry.go
@@ -122,7 +122,7 @@
 	h.owner = fmt.Sprintf("%s@%d", s.Host, clock.Now())
 	h.gates = peer.NewGateClient(h.ctx, dial, h.owner)
 	h.registry = registry.New(registry.Config{
-		Store: registry.NewCountingStore(a.Store, h.recordStoreCall), Documents: a.Documents,
+		Store: registry.NewInstrumentedStore(a.Store, h.recordStoreCall), Documents: a.Documents,
 		Self:               gates.Host{Name: s.Host, Zone: s.Places.Zone, Address: s.PeerAddress},
 		MaxConfigApplyTime: s.ConfigBound, FollowHost: h.gates.Follow, FetchConfig: h.gates.Configuration, Disabled: s.Disabled, Changed: h.wakeReconcile, Log: h.log,
 	})
--- a/node/entry/failures_test.go
+++ b/node/entry/failures_test.go
@@ -49,7 +49,7 @@
 	d := deploy(t, 3, options())
 	primary := d.group.Primary()
 	key := "dotterelswitch/suspects/svc/" + primary.ID + "/host-1"
-	d.platform.Store.Put(key, strconv.AppendUint(nil, d.platform.Store.Era(), 10))
+	d.platform.Store.Put(key, strconv.AppendUint(nil, d.platform.Store.Epoch(), 10))
 	time.Sleep(time.Second)
 	require.Equal(t, primary.ID, d.group.Primary().ID)
 }
--- a/node/entry/metrics.go
+++ b/node/entry/metrics.go
@@ -45,7 +45,7 @@
 }
 
 // storeCall counts a call to the platform's store.
-func (m *hostMetrics) storeCall(call registry.CallName, result string) {
+func (m *hostMetrics) storeCall(call registry.StoreCall, result string) {
 	m.metrics.Count("store_calls", metrics.Label{Name: "call", Value: string(call)}, metrics.Label{Name: "result", Value: result})
 }
 
--- a/node/entry/traffic.go
+++ b/node/entry/traffic.go
@@ -80,7 +80,7 @@
 }
 
 // recordStoreCall counts a call to the platform's store.
-func (h *Host) recordStoreCall(call registry.CallName, result string) {
+func (h *Host) recordStoreCall(call registry.StoreCall, result string) {
 	h.metrics.storeCall(call, result)
 	h.traffic.add(trafficStorePrefix + string(call) + " " + result)
 }
--- a/node/promoter/evidence.go
+++ b/node/promoter/evidence.go
@@ -100,7 +100,7 @@
 		return len(p.set.Members()) > 0
 	}
 	m, known := p.set.Member(id)
-	return !known || m.Suspect(now) || (p.actsOnReports() && len(p.registry.Suspecting(p.service, m.Incarnation())) > 0)
+	return !known || m.Suspect(now) || (p.actsOnReports() && len(p.registry.HostsReportingDead(p.service, m.Incarnation())) > 0)
 }
 
 // actsOnReports reports whether this host reacts to other hosts' reports of a
@@ -133,7 +133,7 @@
 	if !p.disabled.Enabled(mechanism.DirectVotes) {
 		hosts = nil
 	}
-	for _, host := range p.registry.Suspecting(p.service, incarnation) {
+	for _, host := range p.registry.HostsReportingDead(p.service, incarnation) {
 		if !slices.Contains(hosts, host) {
 			hosts = append(hosts, host)
 		}
--- a/node/promoter/primary_report_test.go
+++ b/node/promoter/primary_report_test.go
@@ -27,10 +27,10 @@
 	epoch  store.Epoch
 }
 
-func (r reportingRegistry) Hosts() []string                    { return r.hosts }
-func (r reportingRegistry) Suspecting(string, string) []string { return []string{"h0"} }
-func (r reportingRegistry) Away() bool                         { return false }
-func (r reportingRegistry) Epoch() store.Epoch                 { return r.epoch }
+func (r reportingRegistry) Hosts() []string                            { return r.hosts }
+func (r reportingRegistry) HostsReportingDead(string, string) []string { return []string{"h0"} }
+func (r reportingRegistry) Away() bool                                 { return false }
+func (r reportingRegistry) Epoch() store.Epoch                         { return r.epoch }
 
 func (r reportingRegistry) LockOf(string) succession.Lock {
 	return succession.Lock{Holder: r.holder, Revision: 7}
--- a/node/promoter/promoter.go
+++ b/node/promoter/promoter.go
@@ -29,7 +29,7 @@
 // Registry gives access to the platform's store.
 type Registry interface {
 	Hosts() []string
-	Suspecting(service, member string) []string
+	HostsReportingDead(service, member string) []string
 	// Away reports whether the store cannot be reached from this host.
 	Away() bool
 	// Epoch returns the newest store epoch that this host has observed.
--- a/node/promoter/store_sync.go
+++ b/node/promoter/store_sync.go
@@ -109,7 +109,7 @@
 // nobody has reported yet. The first report makes voters without traffic probe
 // the primary.
 func (p *Promoter) mayReport(lost string) bool {
-	return p.set.IsVoter() || len(p.registry.Suspecting(p.service, lost)) == 0
+	return p.set.IsVoter() || len(p.registry.HostsReportingDead(p.service, lost)) == 0
 }
 
 func (p *Promoter) report(ctx context.Context, lost string) {
--- a/node/registry/apply.go
+++ b/node/registry/apply.go
@@ -35,7 +35,8 @@
 	}
 }
 
-// clearStoreReached drops a signal from before the registration attempt that starts now.
+// clearStoreReached discards a pending signal before a registration attempt, so that
+// only later contact with the store triggers a retry.
 func (r *Registry) clearStoreReached() {
 	select {
 	case <-r.storeReached:
@@ -84,6 +85,7 @@
 	r.directory.Replace(entries, l.Revision, now)
 	r.expire(now)
 	r.scheduleExpiry()
+	// Otherwise the next renewal of the lease finds out that the registration is lost.
 	if _, known := r.items[hostKey(r.self.Name)]; restored && !known {
 		notify(r.registrationLost)
 	}
@@ -109,7 +111,9 @@
 	return true
 }
 
-// apply applies the changes that a watch returned.
+// apply applies the changes that a watch or a relay returned. They are of the local
+// copy's epoch: after a restore a watch fails with store.Restored, and a relay sends a
+// complete listing.
 func (r *Registry) apply(l store.Listing) {
 	now := clock.Now()
 	r.mu.Lock()
@@ -118,22 +122,22 @@
 	r.lastContact = now
 	r.revision = max(r.revision, l.Revision)
 	var changes []store.Item
-	strongest := noEffect
+	maxEffect := noEffect
 	for _, i := range l.Items {
 		before, known := r.items[i.Key]
-		e := r.applyChange(i, now)
+		eff := r.applyChange(i, now)
 		i = r.cacheItem(i)
-		if e != noEffect || r.entryChanged(before, known, i) {
+		if eff != noEffect || r.entryChanged(before, known, i) {
 			changes = append(changes, i)
 		}
-		strongest = max(strongest, e)
+		maxEffect = max(maxEffect, eff)
 	}
 	r.scheduleRelist()
 	if len(changes) > 0 {
 		r.appendHistory(changes)
 	}
 	r.mu.Unlock()
-	if strongest == routingChanged {
+	if maxEffect == routingChanged {
 		r.changed()
 	}
 }
@@ -174,9 +178,9 @@
 	}
 }
 
-// entryChanged reports whether a member's entry differs from the last one that was
-// received by watch or listing, apart from revision and sequence. Followers need such a
-// change even if this host already learned it from a peer. It is called with mu held.
+// entryChanged reports whether a member's entry differs from the cached one in more
+// than revision and sequence. Such a change is sent to followers even if this host
+// already received it from a peer. It is called with mu held.
 func (r *Registry) entryChanged(before store.Item, known bool, i store.Item) bool {
 	if _, ok := r.docs.MemberID(i.Key); !ok {
 		return false
@@ -227,14 +231,14 @@
 // scheduleRelist lists the members again when the grace period of a missing entry is
 // over. It is called with mu held.
 func (r *Registry) scheduleRelist() {
-	if r.relistScheduled || !r.hasMissing() {
+	if r.relistScheduled || !r.hasMissingMember() {
 		return
 	}
 	r.relistScheduled = true
 	time.AfterFunc(relistDelay, r.relistMembers)
 }
 
-func (r *Registry) hasMissing() bool {
+func (r *Registry) hasMissingMember() bool {
 	for _, m := range r.directory.Members() {
 		if m.Missing {
 			return true
@@ -243,8 +247,9 @@
 	return false
 }
 
-// relistMembers lists the members again and removes those that are still missing. If
-// the listing fails, no member is removed.
+// relistMembers lists the members again, which reinstates those whose entries are back,
+// and then removes those that are missing for longer than the grace period. If the
+// listing fails, no member is removed.
 func (r *Registry) relistMembers() {
 	ctx, cancel := context.WithTimeout(context.Background(), listTimeout)
 	defer cancel()
--- a/node/registry/coordination_keys.go
+++ b/node/registry/coordination_keys.go
@@ -37,15 +37,15 @@
 }
 
 // apply applies the change of one key.
-func (o coordinationKeys) apply(i store.Item) effect {
+func (k coordinationKeys) apply(i store.Item) effect {
 	if rest, ok := strings.CutPrefix(i.Key, suspicionPrefix); ok {
 		// A suspicion from before a restore of the store may have been withdrawn since.
 		// Hosts that still suspect the member write it again.
-		setOrDelete(o.suspicions, rest, true, i.Deleted || !fromCurrentEpoch(i))
+		setOrDelete(k.suspicions, rest, true, i.Deleted || !fromCurrentEpoch(i))
 		return stateChanged
 	}
 	if service, ok := strings.CutPrefix(i.Key, lockPrefix); ok {
-		setOrDelete(o.locks, service, decodeLock(i), i.Deleted)
+		setOrDelete(k.locks, service, decodeLock(i), i.Deleted)
 		return stateChanged
 	}
 	return noEffect
@@ -72,14 +72,15 @@
 	m[key] = value
 }
 
-func (o coordinationKeys) suspecting(service, member string) []string {
-	if len(o.suspicions) == 0 {
-		// The usual case, on a path that runs ten times a second for each group.
+// hostsReportingDead returns the hosts with a suspicion of a member.
+func (k coordinationKeys) hostsReportingDead(service, member string) []string {
+	if len(k.suspicions) == 0 {
+		// The usual case; promoters call this several times a second for each group.
 		return nil
 	}
 	prefix := service + "/" + member + "/"
 	var out []string
-	for key := range o.suspicions {
+	for key := range k.suspicions {
 		if host, ok := strings.CutPrefix(key, prefix); ok {
 			out = append(out, host)
 		}
--- a/node/registry/entries_test.go
+++ b/node/registry/entries_test.go
@@ -23,8 +23,9 @@
 	return store.Item{Key: "servers/" + id, Revision: revision, Value: []byte("{")}
 }
 
-// newTestRegistry returns a registry whose store fails all listings, and its log.
-func newTestRegistry() (*Registry, *bytes.Buffer) {
+// newRegistryWithFailingStore returns a registry whose store fails all listings, and
+// its log.
+func newRegistryWithFailingStore() (*Registry, *bytes.Buffer) {
 	var log bytes.Buffer
 	// A missing entry triggers a listing, which may run after the end of the test.
 	unavailable := &unresponsiveStore{err: errors.New("unavailable")}
@@ -46,7 +47,7 @@
 // TestUnreadableEntryDoesNotAffectOthers checks that an unreadable entry adds no member,
 // neither by listing nor by watch, and that the other entries are applied.
 func TestUnreadableEntryDoesNotAffectOthers(t *testing.T) {
-	r, log := newTestRegistry()
+	r, log := newRegistryWithFailingStore()
 	r.replace(listing(9, unreadableItem("x", 3), memberItem("a", 4), unreadableItem("y", 5), memberItem("b", 6)))
 	require.Equal(t, map[string]bool{"a": false, "b": false}, missingByID(r))
 	r.replace(listing(10, unreadableItem("x", 3), memberItem("a", 4), unreadableItem("y", 5), memberItem("b", 6)))
@@ -58,7 +59,7 @@
 
 // TestOverwrittenEntryIsMissingUntilRewritten covers changes by watch and by listing.
 func TestOverwrittenEntryIsMissingUntilRewritten(t *testing.T) {
-	r, _ := newTestRegistry()
+	r, _ := newRegistryWithFailingStore()
 	r.replace(listing(5, memberItem("a", 4), memberItem("b", 5)))
 	r.apply(listing(6, unreadableItem("a", 6)))
 	require.Equal(t, map[string]bool{"a": true, "b": false}, missingByID(r))
@@ -70,14 +71,15 @@
 	require.Equal(t, map[string]bool{"a": false, "b": false}, missingByID(r))
 }
 
-// TestOverwrittenEntryExpires checks that an unreadable entry does not keep a member
-// registered.
-func TestOverwrittenEntryExpires(t *testing.T) {
-	r, _ := newTestRegistry()
+// TestMemberWithUnreadableEntryExpires checks that an unreadable entry does not keep a
+// member registered.
+func TestMemberWithUnreadableEntryExpires(t *testing.T) {
+	r, _ := newRegistryWithFailingStore()
 	r.replace(listing(5, memberItem("a", 4)))
 	r.apply(listing(6, unreadableItem("a", 6)))
 	r.mu.Lock()
-	expired := r.directory.Expire(1 << 62)
+	const farFuture = 1 << 62
+	expired := r.directory.Expire(farFuture)
 	r.mu.Unlock()
 	require.Len(t, expired, 1)
 	require.Equal(t, "a", expired[0].ID)
@@ -88,7 +90,7 @@
 // TestFollowersDecodeRelayedEntries checks that unreadable entries, which a relay passes
 // on undecoded, do not affect a follower.
 func TestFollowersDecodeRelayedEntries(t *testing.T) {
-	r, _ := newTestRegistry()
+	r, _ := newRegistryWithFailingStore()
 	r.applyUpdate(Update{Listing: listing(7, unreadableItem("x", 3), memberItem("a", 4)), Complete: true})
 	r.applyUpdate(Update{Listing: listing(9, unreadableItem("y", 8), memberItem("b", 9))})
 	require.Equal(t, map[string]bool{"a": false, "b": false}, missingByID(r))
--- a/node/registry/follow_test.go
+++ b/node/registry/follow_test.go
@@ -43,22 +43,22 @@
 func TestFollowerReceivesMissedChanges(t *testing.T) {
 	five, six := store.Item{Key: "a", Revision: 5}, store.Item{Key: "b", Revision: 6}
 	r := relayAt(6, 4, five, six)
-	n := firstUpdate(t, r, 5)
-	require.False(t, n.Complete)
-	require.Equal(t, []store.Item{six}, n.Items)
-	require.EqualValues(t, 6, n.Revision)
-	n = firstUpdate(t, r, 3)
-	require.True(t, n.Complete, "not all changes after revision 3 are kept")
-	require.Len(t, n.Items, 2)
+	u := firstUpdate(t, r, 5)
+	require.False(t, u.Complete)
+	require.Equal(t, []store.Item{six}, u.Items)
+	require.EqualValues(t, 6, u.Revision)
+	u = firstUpdate(t, r, 3)
+	require.True(t, u.Complete, "not all changes after revision 3 are kept")
+	require.Len(t, u.Items, 2)
 }
 
 // TestFollowerAheadOfRelayKeepsItsRevision: a follower that watched the store itself
 // until now may have a newer revision than its relay.
 func TestFollowerAheadOfRelayKeepsItsRevision(t *testing.T) {
-	n := firstUpdate(t, relayAt(6, 4, store.Item{Key: "a", Revision: 6}), 9)
-	require.False(t, n.Complete)
-	require.Empty(t, n.Items)
-	require.EqualValues(t, 9, n.Revision)
+	u := firstUpdate(t, relayAt(6, 4, store.Item{Key: "a", Revision: 6}), 9)
+	require.False(t, u.Complete)
+	require.Empty(t, u.Items)
+	require.EqualValues(t, 9, u.Revision)
 }
 
 // TestFollowersAreKeptWhenHostSwitchesToRelay covers a relay that follows another relay
@@ -118,9 +118,9 @@
 // higher than the relay's.
 func TestFollowerFromOlderEpochReceivesCompleteListing(t *testing.T) {
 	r := relayAt(revisionInEpoch(t, 2, 20), revisionInEpoch(t, 2, 20), store.Item{Key: "a", Revision: revisionInEpoch(t, 2, 20)})
-	n := firstUpdate(t, r, revisionInEpoch(t, 1, 300))
-	require.True(t, n.Complete)
-	require.Len(t, n.Items, 1)
+	u := firstUpdate(t, r, revisionInEpoch(t, 1, 300))
+	require.True(t, u.Complete)
+	require.Len(t, u.Items, 1)
 }
 
 // TestRelayInOlderEpochListsStoreAgain checks that a relay which learns of a restore from
@@ -137,7 +137,7 @@
 // TestAnswerFromOlderEpochIsDropped covers an answer that was delayed while the store
 // was restored.
 func TestAnswerFromOlderEpochIsDropped(t *testing.T) {
-	r, _ := newTestRegistry()
+	r, _ := newRegistryWithFailingStore()
 	require.NoError(t, r.replace(listing(revisionInEpoch(t, 2, 20), heartbeatItem("m", revisionInEpoch(t, 2, 20), 3, 500))))
 	require.ErrorIs(t, r.replace(listing(revisionInEpoch(t, 1, 300))), errOlderEpoch)
 	require.Equal(t, revisionInEpoch(t, 2, 20), r.State().Revision)
@@ -148,7 +148,7 @@
 // TestRevisionMayDecreaseInStoreWithoutEpochs checks that a listing with a lower revision
 // is accepted if the store has no epochs.
 func TestRevisionMayDecreaseInStoreWithoutEpochs(t *testing.T) {
-	r, _ := newTestRegistry()
+	r, _ := newRegistryWithFailingStore()
 	require.NoError(t, r.replace(listing(300)))
 	require.NoError(t, r.replace(listing(20)))
 	require.EqualValues(t, 20, r.State().Revision)
--- /dev/null
+++ b/node/registry/instrumented_store.go
@@ -0,0 +1,102 @@
+package registry
+
+import (
+	"context"
+	"errors"
+	"time"
+
+	"github.com/dotterelswitch/dotterelswitch/core/store"
+)
+
+// StoreCall names a call to the store in metrics.
+type StoreCall string
+
+const (
+	CallRange      StoreCall = "range"
+	CallWatch      StoreCall = "watch"
+	CallCommit     StoreCall = "commit"
+	CallGrantLease StoreCall = "grant_lease"
+	CallRenewLease StoreCall = "renew_lease"
+	CallEndLease   StoreCall = "end_lease"
+)
+
+const (
+	// resultOK is the result of a successful call; failed calls have the name of their
+	// store.Failure.
+	resultOK = "ok"
+	// resultOther is the result of a call that failed with another error than
+	// *store.Error, such as a cancelled context.
+	resultOther = "other"
+)
+
+// ObserveCallFunc is called after each call to the store.
+type ObserveCallFunc func(call StoreCall, result string)
+
+// instrumentedStore reports each call to a store and its result.
+type instrumentedStore struct {
+	store       Store
+	observeCall ObserveCallFunc
+}
+
+// NewInstrumentedStore returns a store that passes calls to s and reports each of them
+// to observeCall.
+func NewInstrumentedStore(s Store, observeCall ObserveCallFunc) Store {
+	return &instrumentedStore{store: s, observeCall: observeCall}
+}
+
+func (s *instrumentedStore) observe(call StoreCall, err error) {
+	s.observeCall(call, resultOf(err))
+}
+
+func resultOf(err error) string {
+	if err == nil {
+		return resultOK
+	}
+	var e *store.Error
+	if errors.As(err, &e) {
+		return e.Failure.String()
+	}
+	return resultOther
+}
+
+// Range implements Store.
+func (s *instrumentedStore) Range(ctx context.Context, prefix string) (store.Listing, error) {
+	l, err := s.store.Range(ctx, prefix)
+	s.observe(CallRange, err)
+	return l, err
+}
+
+// Watch implements Store.
+func (s *instrumentedStore) Watch(ctx context.Context, prefix string, after store.Revision, wait time.Duration) (store.Listing, error) {
+	l, err := s.store.Watch(ctx, prefix, after, wait)
+	s.observe(CallWatch, err)
+	return l, err
+}
+
+// Commit implements Store.
+func (s *instrumentedStore) Commit(ctx context.Context, txn store.Txn) (store.Revision, error) {
+	revision, err := s.store.Commit(ctx, txn)
+	s.observe(CallCommit, err)
+	return revision, err
+}
+
+// GrantLease implements Store.
+func (s *instrumentedStore) GrantLease(ctx context.Context, ttl time.Duration) (store.Grant, error) {
+	g, err := s.store.GrantLease(ctx, ttl)
+	s.observe(CallGrantLease, err)
+	return g, err
+}
+
+// RenewLease implements Store.
+func (s *instrumentedStore) RenewLease(ctx context.Context, lease store.Lease) error {
+	err := s.store.RenewLease(ctx, lease)
+	s.observe(CallRenewLease, err)
+	return err
+}
+
+// EndLease implements Store.
+func (s *instrumentedStore) EndLease(ctx context.Context, lease store.Lease) error {
+	err := s.store.EndLease(ctx, lease)
+	s.observe(CallEndLease, err)
+	return err
+}
--- a/node/registry/counting_store_test.go
+++ b/node/registry/instrumented_store_test.go
@@ -33,20 +33,20 @@
 
 func (f failingStore) EndLease(context.Context, store.Lease) error { return f.err }
 
-// countedCall is a reported call and its result.
-type countedCall struct {
-	call   registry.CallName
+// reportedCall is a reported call and its result.
+type reportedCall struct {
+	call   registry.StoreCall
 	result string
 }
 
-// TestEveryCallIsCountedOnce checks the reported result and the returned error of each
-// kind of call.
-func TestEveryCallIsCountedOnce(t *testing.T) {
+// TestInstrumentedStoreReportsEachCallOnce checks that each call of the store interface
+// is reported exactly once, with its result, and that its error is returned.
+func TestInstrumentedStoreReportsEachCallOnce(t *testing.T) {
 	for result, err := range map[string]error{
 		"ok": nil, "throttled": &store.Error{Failure: store.Throttled}, "conflict": &store.Error{Failure: store.Conflict}, "other": errors.New("x"),
 	} {
-		var got []countedCall
-		s := registry.NewCountingStore(failingStore{err}, func(call registry.CallName, result string) { got = append(got, countedCall{call, result}) })
+		var got []reportedCall
+		s := registry.NewInstrumentedStore(failingStore{err}, func(call registry.StoreCall, result string) { got = append(got, reportedCall{call, result}) })
 		ctx := context.Background()
 		_, e1 := s.Range(ctx, "")
 		_, e2 := s.Watch(ctx, "", 0, 0)
@@ -55,7 +55,7 @@
 		for _, e := range []error{e1, e2, e3, e4, s.RenewLease(ctx, store.Lease{ID: 1}), s.EndLease(ctx, store.Lease{ID: 1})} {
 			require.Equal(t, err, e)
 		}
-		require.Equal(t, []countedCall{
+		require.Equal(t, []reportedCall{
 			{registry.CallRange, result}, {registry.CallWatch, result}, {registry.CallCommit, result},
 			{registry.CallGrantLease, result}, {registry.CallRenewLease, result}, {registry.CallEndLease, result},
 		}, got)
--- a/node/registry/last_answered_call.go
+++ b/node/registry/last_answered_call.go
@@ -10,10 +10,10 @@
 type lastAnsweredCall struct{ sentAt atomic.Int64 }
 
 // record records an answer to a call that was sent at the given time.
-func (s *lastAnsweredCall) record(sentAt time.Duration) {
+func (l *lastAnsweredCall) record(sentAt time.Duration) {
 	for {
-		newest := s.sentAt.Load()
-		if int64(sentAt) <= newest || s.sentAt.CompareAndSwap(newest, int64(sentAt)) {
+		newest := l.sentAt.Load()
+		if int64(sentAt) <= newest || l.sentAt.CompareAndSwap(newest, int64(sentAt)) {
 			return
 		}
 	}
@@ -21,6 +21,6 @@
 
 // answeredSince reports whether the store has answered a call that was sent after the
 // given time.
-func (s *lastAnsweredCall) answeredSince(at time.Duration) bool {
-	return time.Duration(s.sentAt.Load()) > at
+func (l *lastAnsweredCall) answeredSince(at time.Duration) bool {
+	return time.Duration(l.sentAt.Load()) > at
 }
--- a/node/registry/lease.go
+++ b/node/registry/lease.go
@@ -156,9 +156,9 @@
 	return r.lease
 }
 
-// Deregister removes the host's registration for good, so that other hosts stop sending
-// to it. A lease of an earlier epoch is not ended, since its ID may belong to another
-// host.
+// Deregister removes the host's registration and prevents a new one, so that other
+// hosts stop sending to it. A lease of an earlier epoch is not ended, since its ID may
+// belong to another host.
 func (r *Registry) Deregister(ctx context.Context) error {
 	r.mu.Lock()
 	r.leaving = true
--- a/node/registry/registry.go
+++ b/node/registry/registry.go
@@ -171,11 +171,11 @@
 	return out
 }
 
-// Suspecting returns the hosts that report a member as dead.
-func (r *Registry) Suspecting(service, member string) []string {
+// HostsReportingDead returns the hosts that report a member as dead.
+func (r *Registry) HostsReportingDead(service, member string) []string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.coordination.suspecting(service, member)
+	return r.coordination.hostsReportingDead(service, member)
 }
 
 // LockOf returns the promotion lock of a service; the zero Lock if nobody holds it.
--- a/node/registry/restored_store_test.go
+++ b/node/registry/restored_store_test.go
@@ -131,20 +131,20 @@
 // activate the older configuration of a restored store.
 func TestOlderRestoredConfigurationIsNotPropagated(t *testing.T) {
 	for name, restored := range map[string][]store.Item{"older": {configItem(t, 2, 40, 20)}, "missing": nil} {
-		r, _ := newTestRegistry()
+		r, _ := newRegistryWithFailingStore()
 		require.NoError(t, r.replace(listing(revisionInEpoch(t, 1, 300), configItem(t, 1, 290, 23))))
 		require.NoError(t, r.replace(listing(revisionInEpoch(t, 2, 50), restored...)))
 		require.EqualValues(t, 23, r.Catalog().Version, name)
-		follower, _ := newTestRegistry()
+		follower, _ := newRegistryWithFailingStore()
 		require.NoError(t, follower.applyUpdate(firstUpdate(t, r, 0)))
 		require.EqualValues(t, 23, follower.Catalog().Version, name)
-		isolated, _ := newTestRegistry()
+		isolated, _ := newRegistryWithFailingStore()
 		isolated.applyPeerListing(r.Listing(revisionInEpoch(t, 1, 300)), "another host")
 		require.EqualValues(t, 23, isolated.Catalog().Version, name)
 		r.apply(listing(revisionInEpoch(t, 2, 60), configItem(t, 2, 60, 21)))
 		require.EqualValues(t, 23, r.Catalog().Version, name)
 		require.NoError(t, follower.applyUpdate(firstUpdate(t, r, revisionInEpoch(t, 2, 50))))
-		lateFollower, _ := newTestRegistry()
+		lateFollower, _ := newRegistryWithFailingStore()
 		require.NoError(t, lateFollower.applyUpdate(firstUpdate(t, r, 0)))
 		require.EqualValues(t, 23, lateFollower.Catalog().Version, name)
 	}
@@ -209,18 +209,18 @@
 // TestSuspicionFromOlderEpochIsIgnored guards against the replacement of a live primary
 // because of a suspicion that was withdrawn before the restore.
 func TestSuspicionFromOlderEpochIsIgnored(t *testing.T) {
-	r, _ := newTestRegistry()
+	r, _ := newRegistryWithFailingStore()
 	suspicion := func(epoch, storeEpoch store.Epoch, number uint64) store.Item {
 		return store.Item{Key: suspicionKey("svc", "m", "h1"), Revision: revisionInEpoch(t, storeEpoch, number), Value: encodeSuspicion(epoch)}
 	}
 	require.NoError(t, r.replace(listing(revisionInEpoch(t, 1, 90), suspicion(1, 1, 80))))
-	require.Equal(t, []string{"h1"}, r.Suspecting("svc", "m"))
+	require.Equal(t, []string{"h1"}, r.HostsReportingDead("svc", "m"))
 	require.NoError(t, r.replace(listing(revisionInEpoch(t, 2, 81), suspicion(1, 2, 80))))
-	require.Empty(t, r.Suspecting("svc", "m"))
+	require.Empty(t, r.HostsReportingDead("svc", "m"))
 	r.apply(listing(revisionInEpoch(t, 2, 82), suspicion(2, 2, 82)))
-	require.Equal(t, []string{"h1"}, r.Suspecting("svc", "m"))
+	require.Equal(t, []string{"h1"}, r.HostsReportingDead("svc", "m"))
 	r.apply(listing(revisionInEpoch(t, 2, 83), suspicion(1, 2, 83)))
-	require.Empty(t, r.Suspecting("svc", "m"), "a delayed write from before the restore")
+	require.Empty(t, r.HostsReportingDead("svc", "m"), "a delayed write from before the restore")
 }
 
 // runRegistered runs the registry of a host that stays registered until the test ends.
@@ -264,7 +264,7 @@
 	for _, r := range hosts {
 		require.Eventually(t, func() bool {
 			lease := r.currentLease()
-			return lease.Epoch == store.Epoch(p.Store.Era()) && r.registered()
+			return lease.Epoch == store.Epoch(p.Store.Epoch()) && r.registered()
 		}, waitTimeout, pollInterval)
 	}
 	time.Sleep(renewInterval + leaseTTL)
