--- a/node/cmd/dotterelctl/measure.go
+++ b/node/cmd/dotterelctl/measure.go
@@ -31,9 +31,9 @@
 
 // measureReport is the output of the measure command.
 type measureReport struct {
-	Losses []measure.PrimaryLoss
-	Reads  []measure.Reads
-	Talk   []measure.ControlTraffic
+	Losses         []measure.PrimaryLoss
+	Reads          []measure.Reads
+	ControlTraffic []measure.ControlTraffic `json:"Talk"`
 }
 
 func runMeasure(files []string, output string) error {
@@ -45,7 +45,7 @@
 		}
 		lines = append(lines, read...)
 	}
-	m := measureReport{Losses: measure.FindPrimaryLosses(lines), Reads: measure.CountReads(lines), Talk: measure.CountControlTraffic(lines)}
+	m := measureReport{Losses: measure.FindPrimaryLosses(lines), Reads: measure.SumReads(lines), ControlTraffic: measure.SumControlTraffic(lines)}
 	switch output {
 	case "json":
 		return json.NewEncoder(os.Stdout).Encode(m)
@@ -60,14 +60,14 @@
 	rows := []string{"SERVICE\tLOST\tNEXT\tBELIEVED\tAGREED\tORDERED\tLEADS\tKNOWN HALF\tKNOWN ALL\tFIRST WRITE\tLIVED"}
 	for _, l := range m.Losses {
 		rows = append(rows, fmt.Sprintf("%s\t%s\t%s\t%s\t%s\t%s\t%s\t%s\t%s\t%s\t%t", l.Service, l.Lost, l.Next,
-			formatMilliseconds(l.Believed), formatMilliseconds(l.Agreed), formatMilliseconds(l.Ordered), formatMilliseconds(l.Leads), formatMilliseconds(l.KnownHalf), formatMilliseconds(l.KnownAll), formatMilliseconds(l.FirstWrite), l.Living))
+			formatMilliseconds(l.Suspected), formatMilliseconds(l.Agreed), formatMilliseconds(l.Ordered), formatMilliseconds(l.Leads), formatMilliseconds(l.KnownHalf), formatMilliseconds(l.KnownAll), formatMilliseconds(l.FirstWrite), l.StillAlive))
 	}
 	rows = append(rows, "", "READS\tTOTAL\tREPLICAS\tBY ROUTE\tNO FLOOR\tBEHIND\tDOUBT\tSOONER")
 	for _, r := range m.Reads {
-		rows = append(rows, fmt.Sprintf("%s\t%d\t%.3f\t%d\t%d\t%d\t%d\t%d", r.Consistency, r.Total(), r.ReplicaShare(), r.ByRoute, r.NoFloor, r.Behind, r.Doubt, r.Sooner))
+		rows = append(rows, fmt.Sprintf("%s\t%d\t%.3f\t%d\t%d\t%d\t%d\t%d", r.Consistency, r.Total(), r.ReplicaShare(), r.ByRoute, r.NoFloor, r.Behind, r.ReplicasSuspect, r.PrimaryFaster))
 	}
 	rows = append(rows, "", "SENT FOR CONTROL\tTOTAL\tA HOST AND SECOND")
-	for _, t := range m.Talk {
+	for _, t := range m.ControlTraffic {
 		rows = append(rows, fmt.Sprintf("%s\t%d\t%.3f", t.Purpose, t.Count, t.PerHostSecond))
 	}
 	for _, row := range rows {
--- a/node/cmd/dotterelswitch/platform.go
+++ b/node/cmd/dotterelswitch/platform.go
@@ -30,7 +30,8 @@
 	workers     int
 	logLevel    string
 	callTimeout time.Duration
-	// disabledMechanisms are turned off to measure their benefit.
+	// disabledMechanisms are the names of the mechanisms that are disabled, to measure
+	// their benefit.
 	disabledMechanisms []string
 }
 
--- a/node/measure/control_traffic.go
+++ b/node/measure/control_traffic.go
@@ -17,9 +17,9 @@
 	PerHostSecond float64
 }
 
-// CountControlTraffic sums the counts of all hosts by purpose, the most frequent
+// SumControlTraffic sums the counts of all hosts by purpose, the most frequent
 // first.
-func CountControlTraffic(lines []Line) []ControlTraffic {
+func SumControlTraffic(lines []Line) []ControlTraffic {
 	hosts := map[string]bool{}
 	counts := map[string]int{}
 	var first, last time.Time
--- a/node/measure/line.go
+++ b/node/measure/line.go
@@ -23,13 +23,13 @@
 	// answered until this line.
 	AliveAgoMillis float64 `json:"alive_ms_ago"`
 	Consistency    string  `json:"consistency"`
-	// Counts of reads by where and why they were served.
-	Replica        int `json:"replica"`
-	PrimaryByRoute int `json:"primary_by_route"`
-	PrimaryNoFloor int `json:"primary_no_floor"`
-	PrimaryBehind  int `json:"primary_behind"`
-	PrimaryDoubt   int `json:"primary_doubt"`
-	PrimarySooner  int `json:"primary_sooner"`
+	// The counts of reads: served by a replica, or by the primary for one of the reasons.
+	Replica                int `json:"replica"`
+	PrimaryByRoute         int `json:"primary_by_route"`
+	PrimaryNoFloor         int `json:"primary_no_floor"`
+	PrimaryBehind          int `json:"primary_behind"`
+	PrimaryReplicasSuspect int `json:"primary_doubt"`
+	PrimaryFaster          int `json:"primary_sooner"`
 	// ControlTraffic counts the control messages that the host sent, by purpose.
 	ControlTraffic map[string]int `json:"talk"`
 }
--- a/node/measure/measure_test.go
+++ b/node/measure/measure_test.go
@@ -9,8 +9,8 @@
 	"github.com/dotterelswitch/dotterelswitch/node/measure"
 )
 
-// failover holds the lines of one service's failover, with a line of another
-// service and a line that has a log collector's prefix.
+// failover holds the log lines of a failover of service s, and one of service t. The
+// first line has a log collector's prefix.
 var failover = []string{
 	`  2.5 a {"host":"a","service":"s","event":408,"name":"primary_believed_dead","upstream":"m1","alive_ms_ago":600,"time":"2026-06-22T10:00:02.500Z"}`,
 	`{"host":"b","service":"s","event":408,"name":"primary_believed_dead","upstream":"m1","alive_ms_ago":550,"time":"2026-06-22T10:00:02.520Z"}`,
@@ -40,15 +40,15 @@
 	losses := measure.FindPrimaryLosses(parse(t, failover...))
 	require.Equal(t, []measure.PrimaryLoss{{
 		Service: "s", Lost: "m1", Next: "m2", At: time.Date(2026, 6, 22, 10, 0, 1, 970e6, time.UTC),
-		Believed: 530 * ms, Agreed: 630 * ms, Ordered: 730 * ms, Leads: 1040 * ms,
+		Suspected: 530 * ms, Agreed: 630 * ms, Ordered: 730 * ms, Leads: 1040 * ms,
 		KnownHalf: 1060 * ms, KnownAll: 1060 * ms, FirstWrite: 1100 * ms,
 	}}, losses)
 }
 
-func TestPrimaryThatWasAliveIsMarked(t *testing.T) {
+func TestLossOfLivePrimaryIsMarked(t *testing.T) {
 	lines := append(parse(t, failover...), parse(t,
 		`{"host":"b","service":"s","event":403,"upstream":"","was":"m1","source":"refused as replica","time":"2026-06-22T10:00:03.200Z"}`)...)
-	require.True(t, measure.FindPrimaryLosses(lines)[0].Living)
+	require.True(t, measure.FindPrimaryLosses(lines)[0].StillAlive)
 }
 
 // Without a host that considered the primary lost, a promotion was planned.
@@ -58,7 +58,7 @@
 }
 
 func TestReplicaShareOfReads(t *testing.T) {
-	reads := measure.CountReads(parse(t,
+	reads := measure.SumReads(parse(t,
 		`{"host":"a","service":"s","event":315,"consistency":"bounded_staleness","replica":90,"primary_no_floor":4,"time":"2026-06-22T10:00:05Z"}`,
 		`{"host":"b","service":"s","event":315,"consistency":"bounded_staleness","replica":6,"time":"2026-06-22T10:00:05Z"}`,
 		`{"host":"b","service":"s","event":315,"consistency":"primary","primary_by_route":7,"time":"2026-06-22T10:00:05Z"}`,
@@ -87,6 +87,6 @@
 	require.Equal(t, []measure.ControlTraffic{
 		{Purpose: "store watch ok", Count: 12, PerHostSecond: 1.2},
 		{Purpose: "datagram floor", Count: 4, PerHostSecond: 0.4},
-	}, measure.CountControlTraffic(lines))
-	require.Empty(t, measure.CountControlTraffic(nil))
+	}, measure.SumControlTraffic(lines))
+	require.Empty(t, measure.SumControlTraffic(nil))
 }
--- a/node/measure/primary_losses.go
+++ b/node/measure/primary_losses.go
@@ -11,36 +11,38 @@
 // from At; zero stands for steps that no line reports.
 type PrimaryLoss struct {
 	Service string
-	// Lost and Next are the primaries before and after.
+	// Lost is the lost primary, Next the one that replaced it.
 	Lost, Next string
 	// At is when the last request that the lost primary answered was sent.
 	At time.Time
-	// Believed is when the first host considered the primary lost, Agreed when a
-	// majority did or the promotion lock was taken, and Ordered when the platform was
-	// called for a promotion.
-	Believed, Agreed, Ordered time.Duration
+	// Suspected is when the first host considered the primary lost.
+	Suspected time.Duration `json:"Believed"`
+	// Agreed is when a majority did or the promotion lock was taken, and Ordered when
+	// the platform was called for a promotion.
+	Agreed, Ordered time.Duration
 	// Leads is when the host that ran the promotion observed the new primary.
 	Leads time.Duration
-	// KnownHalf and KnownAll are when half and all of the hosts that log the change
-	// had learned of it.
+	// KnownHalf and KnownAll are when half and all of the hosts that log the change of
+	// primary had observed it.
 	KnownHalf, KnownAll time.Duration
 	// FirstWrite is when the first write was acknowledged: the failover gap.
 	FirstWrite time.Duration
-	// Living is set when the lost primary refused statements afterwards and so was
-	// still alive.
-	Living bool
+	// StillAlive is set if the lost primary refused statements afterwards, so it had
+	// not failed.
+	StillAlive bool `json:"Living"`
 }
 
 const (
-	// maxFailoverDuration bounds the time between the lines of one loss.
+	// maxFailoverDuration bounds the time between the promotion and the other lines
+	// of one loss.
 	maxFailoverDuration = 20 * time.Second
 	// aliveRefusalWindow is how soon after the promotion a refusal shows that the old
 	// primary is alive.
 	aliveRefusalWindow = time.Second
 )
 
-// refusedAsReplica is the logged source of a change that follows a refusal by a
-// member.
+// refusedAsReplica is the logged source of a primary_changed event after a member
+// refused a statement because it is a replica.
 const refusedAsReplica = "refused as replica"
 
 // FindPrimaryLosses finds the losses of primaries in the lines of all hosts.
@@ -64,7 +66,7 @@
 func lossEndedBy(lines []Line, promoted int) (PrimaryLoss, bool) {
 	end := lines[promoted]
 	loss := PrimaryLoss{Service: end.Service, Next: end.Upstream}
-	var believed, agreed, ordered time.Time
+	var suspected, agreed, ordered time.Time
 	setFirst := func(at *time.Time, t time.Time) {
 		if at.IsZero() {
 			*at = t
@@ -76,9 +78,9 @@
 		}
 		switch l.Event {
 		case eventlog.Promoted.Number:
-			believed, agreed, ordered, loss.Lost, loss.At = time.Time{}, time.Time{}, time.Time{}, "", time.Time{}
+			suspected, agreed, ordered, loss.Lost, loss.At = time.Time{}, time.Time{}, time.Time{}, "", time.Time{}
 		case eventlog.PrimaryBelievedDead.Number:
-			setFirst(&believed, l.Time)
+			setFirst(&suspected, l.Time)
 			if alive := l.Time.Add(-time.Duration(l.AliveAgoMillis * float64(time.Millisecond))); l.AliveAgoMillis > 0 && alive.After(loss.At) {
 				loss.At = alive
 			}
@@ -89,7 +91,7 @@
 			setFirst(&ordered, l.Time)
 		}
 	}
-	if believed.IsZero() || loss.At.IsZero() {
+	if suspected.IsZero() || loss.At.IsZero() {
 		return PrimaryLoss{}, false
 	}
 	since := func(t time.Time) time.Duration {
@@ -98,7 +100,7 @@
 		}
 		return t.Sub(loss.At)
 	}
-	loss.Believed, loss.Agreed, loss.Ordered, loss.Leads = since(believed), since(agreed), since(ordered), since(end.Time)
+	loss.Suspected, loss.Agreed, loss.Ordered, loss.Leads = since(suspected), since(agreed), since(ordered), since(end.Time)
 	loss.addLaterEvents(lines, end)
 	return loss, true
 }
@@ -120,7 +122,7 @@
 				learnedAt[l.Host] = at
 			}
 		case l.Event == eventlog.PrimaryChanged.Number && l.Was == loss.Lost && l.Source == refusedAsReplica && l.Time.Sub(end.Time) < aliveRefusalWindow:
-			loss.Living = true
+			loss.StillAlive = true
 		case l.Event == eventlog.PrimaryFirstWrite.Number && l.Upstream == loss.Next && (loss.FirstWrite == 0 || at < loss.FirstWrite):
 			loss.FirstWrite = at
 		}
--- a/node/measure/reads.go
+++ b/node/measure/reads.go
@@ -12,11 +12,13 @@
 	Consistency string
 	Replica     int
 	// Reads served by the primary, by reason.
-	ByRoute, NoFloor, Behind, Doubt, Sooner int
+	ByRoute, NoFloor, Behind int
+	ReplicasSuspect          int `json:"Doubt"`
+	PrimaryFaster            int `json:"Sooner"`
 }
 
 func (r Reads) Total() int {
-	return r.Replica + r.ByRoute + r.NoFloor + r.Behind + r.Doubt + r.Sooner
+	return r.Replica + r.ByRoute + r.NoFloor + r.Behind + r.ReplicasSuspect + r.PrimaryFaster
 }
 
 // ReplicaShare returns the fraction of reads that replicas served, or zero if there
@@ -28,8 +30,8 @@
 	return float64(r.Replica) / float64(r.Total())
 }
 
-// CountReads sums the read counts of all hosts, by consistency.
-func CountReads(lines []Line) []Reads {
+// SumReads sums the read counts of all hosts, by consistency.
+func SumReads(lines []Line) []Reads {
 	at := map[string]*Reads{}
 	for _, l := range lines {
 		if l.Event != eventlog.ReadsCounted.Number {
@@ -44,8 +46,8 @@
 		r.ByRoute += l.PrimaryByRoute
 		r.NoFloor += l.PrimaryNoFloor
 		r.Behind += l.PrimaryBehind
-		r.Doubt += l.PrimaryDoubt
-		r.Sooner += l.PrimarySooner
+		r.ReplicasSuspect += l.PrimaryReplicasSuspect
+		r.PrimaryFaster += l.PrimaryFaster
 	}
 	var out []Reads
 	for _, r := range at {
