--- a/node/soak/caller.go
+++ b/node/soak/caller.go
@@ -56,18 +56,18 @@
 	for ctx.Err() == nil {
 		c.sessions++
 		host := c.hosts[c.rng.IntN(len(c.hosts))]
-		t := &callerSession{
+		s := &callerSession{
 			caller: c, id: fmt.Sprintf("%s-%d", c.name, c.sessions), database: databases[c.rng.IntN(len(databases))],
 			host: host, incarnation: host.currentIncarnation(), sessionValues: map[string]string{}, preparedShapes: map[string]string{},
 		}
-		session, err := linecaller.OpenWithKey(host.callerAddress, databaseOf(c.group, t.database), c.team.Keys[0], t.id, answerTimeout)
+		session, err := linecaller.OpenWithKey(host.callerAddress, databaseOf(c.group, s.database), c.team.Keys[0], s.id, answerTimeout)
 		if err != nil {
 			// The host is down or at its session limit; the next session picks one again.
 			c.pause()
 			continue
 		}
-		t.session = session
-		for n := c.rng.IntN(maxSessionOperations); n >= 0 && ctx.Err() == nil && t.runOperation(); n-- {
+		s.session = session
+		for n := c.rng.IntN(maxSessionOperations); n >= 0 && ctx.Err() == nil && s.runOperation(); n-- {
 			c.pause()
 		}
 		session.Close()
@@ -78,45 +78,45 @@
 
 // runOperation runs a randomly chosen operation and reports whether the session
 // is still usable.
-func (t *callerSession) runOperation() bool {
-	switch p := t.rng.IntN(100); {
+func (s *callerSession) runOperation() bool {
+	switch p := s.rng.IntN(100); {
 	case p < 40:
-		return t.runData(read) != nil
+		return s.runData(read) != nil
 	case p < 60:
-		return t.runData(write) != nil
+		return s.runData(write) != nil
 	case p < 85:
-		return t.runTransaction()
+		return s.runTransaction()
 	case p < 93:
-		return t.setSessionValue()
+		return s.setSessionValue()
 	default:
-		return t.prepareOrDeallocate()
+		return s.prepareOrDeallocate()
 	}
 }
 
-func (t *callerSession) randomItem() string { return fmt.Sprintf("item%d", t.rng.IntN(sharedItems)) }
+func (s *callerSession) randomItem() string { return fmt.Sprintf("item%d", s.rng.IntN(sharedItems)) }
 
 // runData runs a read or a write, prepared or not. It returns nil when the
 // session is no longer usable.
-func (t *callerSession) runData(v verb) *request {
-	if name, found := t.preparedName(v); found && t.rng.IntN(2) == 0 {
-		text := "EXECUTE " + name + " " + t.randomItem()
+func (s *callerSession) runData(v verb) *request {
+	if name, found := s.preparedName(v); found && s.rng.IntN(2) == 0 {
+		text := "EXECUTE " + name + " " + s.randomItem()
 		if v == write {
-			text += " " + t.session.NextID()
+			text += " " + s.session.NextID()
 		}
-		return t.execute(v, text, t.preparedShapes[name])
+		return s.execute(v, text, s.preparedShapes[name])
 	}
 	if v == write {
-		return t.execute(v, "STORE "+t.randomItem()+" "+t.session.NextID(), "")
+		return s.execute(v, "STORE "+s.randomItem()+" "+s.session.NextID(), "")
 	}
-	return t.execute(v, "FETCH "+t.randomItem(), "")
+	return s.execute(v, "FETCH "+s.randomItem(), "")
 }
 
-func (t *callerSession) preparedName(v verb) (string, bool) {
+func (s *callerSession) preparedName(v verb) (string, bool) {
 	kind := "FETCH"
 	if v == write {
 		kind = "STORE"
 	}
-	for name, shape := range t.preparedShapes {
+	for name, shape := range s.preparedShapes {
 		if strings.HasPrefix(shape, kind) {
 			return name, true
 		}
@@ -125,20 +125,20 @@
 }
 
 // execute sends a statement that a member has to run and records its result.
-func (t *callerSession) execute(v verb, text, shape string) *request {
+func (s *callerSession) execute(v verb, text, shape string) *request {
 	r := &request{
-		verb: v, text: text, preparedShape: shape, database: t.database, team: t.team.Name, session: t.id, tx: t.tx,
-		host: t.host, incarnation: t.incarnation, sessionValues: t.encodeValues(), sentAt: time.Now(),
+		verb: v, text: text, preparedShape: shape, database: s.database, team: s.team.Name, session: s.id, tx: s.tx,
+		host: s.host, incarnation: s.incarnation, sessionValues: s.encodeValues(), sentAt: time.Now(),
 	}
 	var err error
-	r.Answer, err = t.session.Run(text)
+	r.Answer, err = s.session.Run(text)
 	r.answeredAt, r.unanswered = time.Now(), err != nil
-	t.requests = append(t.requests, r)
-	if v == write && t.tx != nil {
-		t.tx.writes = append(t.tx.writes, r)
+	s.requests = append(s.requests, r)
+	if v == write && s.tx != nil {
+		s.tx.writes = append(s.tx.writes, r)
 	}
-	if v == write && t.tx == nil && r.ok() {
-		t.commits = append(t.commits, ackedCommit{at: r.answeredAt, requestID: r.ID, session: t.id})
+	if v == write && s.tx == nil && r.ok() {
+		s.commits = append(s.commits, ackedCommit{at: r.answeredAt, requestID: r.ID, session: s.id})
 	}
 	if r.unanswered {
 		return nil
@@ -146,99 +146,99 @@
 	return r
 }
 
-func (t *callerSession) encodeValues() string {
+func (s *callerSession) encodeValues() string {
 	var names []string
-	for name := range t.sessionValues {
+	for name := range s.sessionValues {
 		names = append(names, name)
 	}
 	slices.Sort(names)
 	var b strings.Builder
 	for _, name := range names {
-		b.WriteString(name + "=" + t.sessionValues[name] + " ")
+		b.WriteString(name + "=" + s.sessionValues[name] + " ")
 	}
 	return b.String()
 }
 
 // runControl sends a statement that the host may answer without a member. It
 // reports whether the statement succeeded.
-func (t *callerSession) runControl(text string) bool {
-	a, err := t.session.Run(text)
+func (s *callerSession) runControl(text string) bool {
+	a, err := s.session.Run(text)
 	return err == nil && a.Code == ""
 }
 
-func (t *callerSession) setSessionValue() bool {
-	name, value := fmt.Sprintf("name%d", t.rng.IntN(3)), fmt.Sprintf("v%d", t.rng.IntN(4))
-	if !t.runControl("SET " + name + " " + value) {
+func (s *callerSession) setSessionValue() bool {
+	name, value := fmt.Sprintf("name%d", s.rng.IntN(3)), fmt.Sprintf("v%d", s.rng.IntN(4))
+	if !s.runControl("SET " + name + " " + value) {
 		return false
 	}
-	t.sessionValues[name] = value
+	s.sessionValues[name] = value
 	return true
 }
 
-func (t *callerSession) prepareOrDeallocate() bool {
-	name := fmt.Sprintf("s%d", t.rng.IntN(3))
-	if _, found := t.preparedShapes[name]; found {
-		delete(t.preparedShapes, name)
-		return t.runControl("DEALLOC " + name)
+func (s *callerSession) prepareOrDeallocate() bool {
+	name := fmt.Sprintf("s%d", s.rng.IntN(3))
+	if _, found := s.preparedShapes[name]; found {
+		delete(s.preparedShapes, name)
+		return s.runControl("DEALLOC " + name)
 	}
-	shape := []string{"FETCH", "STORE"}[t.rng.IntN(2)] + fmt.Sprintf(" q%d", t.rng.IntN(5))
-	if !t.runControl("PREPARE " + name + " " + shape) {
+	shape := []string{"FETCH", "STORE"}[s.rng.IntN(2)] + fmt.Sprintf(" q%d", s.rng.IntN(5))
+	if !s.runControl("PREPARE " + name + " " + shape) {
 		return false
 	}
-	t.preparedShapes[name] = shape
+	s.preparedShapes[name] = shape
 	return true
 }
 
 // runTransaction runs one transaction and reports whether the session is still
 // usable.
-func (t *callerSession) runTransaction() bool {
+func (s *callerSession) runTransaction() bool {
 	tx := &transaction{beganAt: time.Now(), result: notCommitted}
-	readOnly := t.rng.IntN(2) == 0
+	readOnly := s.rng.IntN(2) == 0
 	begin := "BEGIN"
 	if readOnly {
 		begin = "BEGIN FETCH"
 	}
-	if !t.runControl(begin) {
+	if !s.runControl(begin) {
 		return false
 	}
-	t.tx = tx
-	defer func() { t.tx = nil }()
-	for range 1 + t.rng.IntN(maxTransactionStatements) {
+	s.tx = tx
+	defer func() { s.tx = nil }()
+	for range 1 + s.rng.IntN(maxTransactionStatements) {
 		v := read
-		if !readOnly && t.rng.IntN(2) == 0 {
+		if !readOnly && s.rng.IntN(2) == 0 {
 			v = write
 		}
-		r := t.runData(v)
+		r := s.runData(v)
 		if r == nil {
 			return false
 		}
 		if !r.ok() {
 			// A transaction that failed but is still open has to be rolled back.
-			return r.State == "I" || t.runControl("ROLLBACK")
+			return r.State == "I" || s.runControl("ROLLBACK")
 		}
-		t.pause()
+		s.pause()
 	}
-	return t.endTransaction(tx)
+	return s.endTransaction(tx)
 }
 
 // endTransaction disconnects, rolls back or commits, and reports whether the
 // session is still usable.
-func (t *callerSession) endTransaction(tx *transaction) bool {
-	switch p := t.rng.IntN(10); {
+func (s *callerSession) endTransaction(tx *transaction) bool {
+	switch p := s.rng.IntN(10); {
 	case p == 0:
 		return false
 	case p < 3:
-		return t.runControl("ROLLBACK")
+		return s.runControl("ROLLBACK")
 	}
 	tx.result = outcomeUnknown
-	r := t.execute(commit, "COMMIT", "")
+	r := s.execute(commit, "COMMIT", "")
 	switch {
 	case r == nil:
 		return false
 	case r.ok():
 		tx.result = committed
 		if len(tx.writes) > 0 {
-			t.commits = append(t.commits, ackedCommit{at: r.answeredAt, requestID: tx.writes[0].ID, session: t.id})
+			s.commits = append(s.commits, ackedCommit{at: r.answeredAt, requestID: tx.writes[0].ID, session: s.id})
 		}
 	case linecaller.NoEffect(r.Code):
 		tx.result = notCommitted
--- a/node/soak/check.go
+++ b/node/soak/check.go
@@ -28,10 +28,10 @@
 	runsByRequest map[string][]lineplatform.Execution
 }
 
-// check reports every violated guarantee.
-func check(e groupRecord, histories []history, found *findings) {
-	c := &checker{groupRecord: e, findings: found, runsByRequest: map[string][]lineplatform.Execution{}}
-	for _, run := range e.runs {
+// check adds a finding for every violated guarantee.
+func check(record groupRecord, histories []history, found *findings) {
+	c := &checker{groupRecord: record, findings: found, runsByRequest: map[string][]lineplatform.Execution{}}
+	for _, run := range record.runs {
 		c.runsByRequest[run.ID] = append(c.runsByRequest[run.ID], run)
 	}
 	requests := map[string]*request{}
@@ -42,7 +42,7 @@
 			requests[r.ID] = r
 		}
 	}
-	acked := newAckedCommits(acks, e)
+	acked := newAckedCommits(acks, record)
 	for _, r := range requests {
 		c.checkRuns(r)
 		c.checkTeams(r)
@@ -100,8 +100,8 @@
 	c.findings.add("%s succeeded with signature %q and rows %q, which no member gave", r.ID, r.Signature, r.Rows)
 }
 
-// checkCommitted compares what a caller was told about a write with what was
-// committed.
+// checkCommitted compares the result that a caller received for a write with what
+// was committed.
 func (c *checker) checkCommitted(r *request) {
 	if r.verb != write {
 		return
@@ -204,43 +204,43 @@
 	maxPosition lineplatform.Position
 }
 
-func newAckedCommits(acks []ackedCommit, e groupRecord) *ackedCommits {
-	q := &ackedCommits{}
+func newAckedCommits(acks []ackedCommit, record groupRecord) *ackedCommits {
+	acked := &ackedCommits{}
 	for _, a := range acks {
-		if p := e.commitPosition(a.requestID); !e.rolledBack(p) {
-			q.commits = append(q.commits, positionedCommit{ackedCommit: a, position: p})
+		if p := record.commitPosition(a.requestID); !record.rolledBack(p) {
+			acked.commits = append(acked.commits, positionedCommit{ackedCommit: a, position: p})
 		}
 	}
-	slices.SortFunc(q.commits, func(a, b positionedCommit) int { return a.at.Compare(b.at) })
+	slices.SortFunc(acked.commits, func(a, b positionedCommit) int { return a.at.Compare(b.at) })
 	var maxPosition lineplatform.Position
-	for i := range q.commits {
-		maxPosition = laterOf(maxPosition, q.commits[i].position)
-		q.commits[i].maxPosition = maxPosition
+	for i := range acked.commits {
+		maxPosition = laterOf(maxPosition, acked.commits[i].position)
+		acked.commits[i].maxPosition = maxPosition
 	}
-	return q
+	return acked
 }
 
 // rolledBack reports whether a promotion discarded a position.
-func (e groupRecord) rolledBack(p lineplatform.Position) bool {
-	return slices.ContainsFunc(e.termStarts, func(s lineplatform.Position) bool {
+func (record groupRecord) rolledBack(p lineplatform.Position) bool {
+	return slices.ContainsFunc(record.termStarts, func(s lineplatform.Position) bool {
 		return s.Term > p.Term && p.Offset > s.Offset
 	})
 }
 
 // latestBefore returns the latest position acknowledged before a time.
-func (q *ackedCommits) latestBefore(t time.Time) lineplatform.Position {
-	n, _ := slices.BinarySearchFunc(q.commits, t, func(a positionedCommit, t time.Time) int { return a.at.Compare(t) })
+func (c *ackedCommits) latestBefore(t time.Time) lineplatform.Position {
+	n, _ := slices.BinarySearchFunc(c.commits, t, func(a positionedCommit, t time.Time) int { return a.at.Compare(t) })
 	if n == 0 {
 		return lineplatform.Position{}
 	}
-	return q.commits[n-1].maxPosition
+	return c.commits[n-1].maxPosition
 }
 
 // latestOfSession returns the latest position that a session committed before a
 // time.
-func (q *ackedCommits) latestOfSession(session string, t time.Time) lineplatform.Position {
+func (c *ackedCommits) latestOfSession(session string, t time.Time) lineplatform.Position {
 	var out lineplatform.Position
-	for _, a := range q.commits {
+	for _, a := range c.commits {
 		if a.session == session && a.at.Before(t) {
 			out = laterOf(out, a.position)
 		}
--- a/node/soak/check_test.go
+++ b/node/soak/check_test.go
@@ -30,35 +30,35 @@
 }
 
 func newTestHistory() *testHistory {
-	s := &testHistory{
+	h := &testHistory{
 		commitCounts:    map[string]int{"w": 1, "tw": 1},
 		commitPositions: map[string]lineplatform.Position{"w": {Term: 1, Offset: 5}, "tw": {Term: 1, Offset: 7}},
 	}
 	answer := func(id string, rows ...string) linecaller.Answer {
 		return linecaller.Answer{ID: id, Signature: "sig-m-" + id, Rows: rows, State: "I"}
 	}
-	s.tx = &transaction{beganAt: atMillis(40), result: committed}
-	s.writeRequest = &request{Answer: answer("w"), verb: write, text: "STORE a w", database: strictDatabase, session: "s1", sentAt: atMillis(0), answeredAt: atMillis(10)}
-	s.readRequest = &request{Answer: answer("r", "w"), verb: read, text: "FETCH a", database: strictDatabase, session: "s2", sentAt: atMillis(20), answeredAt: atMillis(30)}
-	s.txWrite = &request{Answer: answer("tw"), verb: write, text: "STORE b tw", database: strictDatabase, session: "s1", tx: s.tx, sentAt: atMillis(41), answeredAt: atMillis(45)}
-	s.txCommit = &request{Answer: answer("tc"), verb: commit, text: "COMMIT", database: strictDatabase, session: "s1", tx: s.tx, sentAt: atMillis(46), answeredAt: atMillis(50)}
-	s.tx.writes = []*request{s.txWrite}
-	s.requests = []*request{s.writeRequest, s.readRequest, s.txWrite, s.txCommit}
-	s.commits = []ackedCommit{{at: atMillis(10), requestID: "w", session: "s1"}, {at: atMillis(50), requestID: "tw", session: "s1"}}
-	s.runs = []lineplatform.Execution{
+	h.tx = &transaction{beganAt: atMillis(40), result: committed}
+	h.writeRequest = &request{Answer: answer("w"), verb: write, text: "STORE a w", database: strictDatabase, session: "s1", sentAt: atMillis(0), answeredAt: atMillis(10)}
+	h.readRequest = &request{Answer: answer("r", "w"), verb: read, text: "FETCH a", database: strictDatabase, session: "s2", sentAt: atMillis(20), answeredAt: atMillis(30)}
+	h.txWrite = &request{Answer: answer("tw"), verb: write, text: "STORE b tw", database: strictDatabase, session: "s1", tx: h.tx, sentAt: atMillis(41), answeredAt: atMillis(45)}
+	h.txCommit = &request{Answer: answer("tc"), verb: commit, text: "COMMIT", database: strictDatabase, session: "s1", tx: h.tx, sentAt: atMillis(46), answeredAt: atMillis(50)}
+	h.tx.writes = []*request{h.txWrite}
+	h.requests = []*request{h.writeRequest, h.readRequest, h.txWrite, h.txCommit}
+	h.commits = []ackedCommit{{at: atMillis(10), requestID: "w", session: "s1"}, {at: atMillis(50), requestID: "tw", session: "s1"}}
+	h.runs = []lineplatform.Execution{
 		{ID: "w", Member: "m", Text: "STORE a w", Position: "1.4"},
 		{ID: "r", Member: "m", Text: "FETCH a", Position: "1.5", Row: "w"},
 		{ID: "tw", Member: "m", Text: "STORE b tw", Position: "1.6", TxID: 3},
 		{ID: "tc", Member: "m", Text: "COMMIT", Position: "1.6", TxID: 3},
 	}
-	s.commitCount = func(id string) int { return s.commitCounts[id] }
-	s.groupRecord.commitPosition = func(id string) lineplatform.Position { return s.commitPositions[id] }
-	return s
+	h.commitCount = func(id string) int { return h.commitCounts[id] }
+	h.groupRecord.commitPosition = func(id string) lineplatform.Position { return h.commitPositions[id] }
+	return h
 }
 
-func (s *testHistory) findings() []string {
+func (h *testHistory) findings() []string {
 	var f findings
-	check(s.groupRecord, []history{s.history}, &f)
+	check(h.groupRecord, []history{h.history}, &f)
 	return f.all()
 }
 
@@ -69,34 +69,34 @@
 func TestEachViolationIsFound(t *testing.T) {
 	for _, c := range []struct {
 		name, finding string
-		violate       func(s *testHistory)
+		violate       func(h *testHistory)
 	}{
-		{"committed twice", "w was kept 2 times", func(s *testHistory) { s.commitCounts["w"] = 2 }},
-		{"acknowledged but not committed", "w was acknowledged and kept 0 times", func(s *testHistory) { s.commitCounts["w"] = 0 }},
-		{"committed though refused", "kept though it was refused with BUSY", func(s *testHistory) {
-			s.writeRequest.Code, s.commits = "BUSY", s.commits[1:]
+		{"committed twice", "w was kept 2 times", func(h *testHistory) { h.commitCounts["w"] = 2 }},
+		{"acknowledged but not committed", "w was acknowledged and kept 0 times", func(h *testHistory) { h.commitCounts["w"] = 0 }},
+		{"committed though refused", "kept though it was refused with BUSY", func(h *testHistory) {
+			h.writeRequest.Code, h.commits = "BUSY", h.commits[1:]
 		}},
-		{"committed though rolled back", "tw was kept though its transaction was not", func(s *testHistory) {
-			s.tx.result, s.commits = notCommitted, s.commits[:1]
+		{"committed though rolled back", "tw was kept though its transaction was not", func(h *testHistory) {
+			h.tx.result, h.commits = notCommitted, h.commits[:1]
 		}},
-		{"answer to another request", "which no member gave", func(s *testHistory) { s.readRequest.Signature = "sig-m-w" }},
-		{"wrong rows", "which no member gave", func(s *testHistory) { s.readRequest.Rows = []string{"x"} }},
-		{"stale read", "which lacks 1.5", func(s *testHistory) { s.runs[1].Position = "1.4" }},
-		{"read in an older term", "which lacks 2.1", func(s *testHistory) { s.commitPositions["w"] = lineplatform.Position{Term: 2, Offset: 1} }},
-		{"own write not seen", "which lacks 1.5", func(s *testHistory) {
-			s.readRequest.database, s.readRequest.session, s.runs[1].Position = readYourWritesDatabase, "s1", "1.4"
+		{"answer to another request", "which no member gave", func(h *testHistory) { h.readRequest.Signature = "sig-m-w" }},
+		{"wrong rows", "which no member gave", func(h *testHistory) { h.readRequest.Rows = []string{"x"} }},
+		{"stale read", "which lacks 1.5", func(h *testHistory) { h.runs[1].Position = "1.4" }},
+		{"read in an older term", "which lacks 2.1", func(h *testHistory) { h.commitPositions["w"] = lineplatform.Position{Term: 2, Offset: 1} }},
+		{"own write not seen", "which lacks 1.5", func(h *testHistory) {
+			h.readRequest.database, h.readRequest.session, h.runs[1].Position = readYourWritesDatabase, "s1", "1.4"
 		}},
-		{"changed statement text", `ran as "FETCH b"`, func(s *testHistory) { s.runs[1].Text = "FETCH b" }},
-		{"wrong session values", "acknowledged were", func(s *testHistory) { s.runs[1].SessionValues = "name0=v1 " }},
-		{"wrong prepared shape", "its caller prepared", func(s *testHistory) { s.runs[1].Shape = "FETCH q1" }},
-		{"statement that no caller sent", "which no caller sent", func(s *testHistory) { s.runs = append(s.runs, lineplatform.Execution{ID: "x"}) }},
-		{"run outside of its transaction", "ran outside of its transaction", func(s *testHistory) { s.runs[2].TxID = 0 }},
-		{"statements of two transactions mixed", "ran in one transaction", func(s *testHistory) { s.runs[1].TxID = 3 }},
+		{"changed statement text", `ran as "FETCH b"`, func(h *testHistory) { h.runs[1].Text = "FETCH b" }},
+		{"wrong session values", "acknowledged were", func(h *testHistory) { h.runs[1].SessionValues = "name0=v1 " }},
+		{"wrong prepared shape", "its caller prepared", func(h *testHistory) { h.runs[1].Shape = "FETCH q1" }},
+		{"statement that no caller sent", "which no caller sent", func(h *testHistory) { h.runs = append(h.runs, lineplatform.Execution{ID: "x"}) }},
+		{"run outside of its transaction", "ran outside of its transaction", func(h *testHistory) { h.runs[2].TxID = 0 }},
+		{"statements of two transactions mixed", "ran in one transaction", func(h *testHistory) { h.runs[1].TxID = 3 }},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			s := newTestHistory()
-			c.violate(s)
-			require.Contains(t, strings.Join(s.findings(), "\n"), c.finding)
+			h := newTestHistory()
+			c.violate(h)
+			require.Contains(t, strings.Join(h.findings(), "\n"), c.finding)
 		})
 	}
 }
@@ -125,16 +125,16 @@
 
 // A promotion discards commits that the new primary had not received.
 func TestRolledBackCommitsAreNotRequired(t *testing.T) {
-	s := newTestHistory()
-	s.runs[1].Position = "1.4"
-	s.termStarts = []lineplatform.Position{{Term: 2, Offset: 4}}
-	require.Empty(t, s.findings())
+	h := newTestHistory()
+	h.runs[1].Position = "1.4"
+	h.termStarts = []lineplatform.Position{{Term: 2, Offset: 4}}
+	require.Empty(t, h.findings())
 }
 
 func TestBoundedReadMayMissRecentCommits(t *testing.T) {
-	s := newTestHistory()
-	s.readRequest.database, s.runs[1].Position = boundedDatabase, "1.4"
-	require.Empty(t, s.findings())
-	s.readRequest.sentAt = atMillis(10 + int(maxStaleness[boundedDatabase].Milliseconds()) + 1)
-	require.NotEmpty(t, s.findings())
+	h := newTestHistory()
+	h.readRequest.database, h.runs[1].Position = boundedDatabase, "1.4"
+	require.Empty(t, h.findings())
+	h.readRequest.sentAt = atMillis(10 + int(maxStaleness[boundedDatabase].Milliseconds()) + 1)
+	require.NotEmpty(t, h.findings())
 }
--- a/node/soak/event.go
+++ b/node/soak/event.go
@@ -19,18 +19,20 @@
 	KillMany
 	// StopHost shuts a host's process down within its grace period.
 	StopHost
-	// PauseHost suspends a host's process for a while.
+	// PauseHost suspends a host's process for the duration of the fault.
 	PauseHost
 	// ReloadHost makes a host reload its settings file.
 	ReloadHost
 	// StallStore withholds all data between one host and the platform.
 	StallStore
-	// SilenceStore makes one host's open connections to the platform unresponsive
-	// for the rest of their life.
+	// SilenceStore drops all further data of one host's open connections to the
+	// platform.
 	SilenceStore
-	// StoreRefuses, StoreSilent and StoreLosesAnswers make the store itself fail.
+	// StoreRefuses makes the store answer 503.
 	StoreRefuses
+	// StoreSilent makes the store accept calls without answering them.
 	StoreSilent
+	// StoreLosesAnswers makes the store execute writes without answering them.
 	StoreLosesAnswers
 	// CompactStore drops the store's history of revisions.
 	CompactStore
@@ -40,12 +42,14 @@
 	CrashPrimary
 	// DrainPrimary drains the primary and adds a new member in its place.
 	DrainPrimary
-	// DelayMember, HoldToMember and HoldFromMember disturb the network path to a
-	// member, ResetMember and SilenceMember its open connections.
+	// DelayMember adds latency to a member's connections.
 	DelayMember
+	// HoldToMember withholds all data to a member, HoldFromMember all data from it.
 	HoldToMember
 	HoldFromMember
+	// ResetMember resets a member's open connections.
 	ResetMember
+	// SilenceMember drops all further data of a member's open connections.
 	SilenceMember
 	// StopReplication stops a replica from receiving the log.
 	StopReplication
@@ -62,8 +66,8 @@
 	// ForeignEntry writes an invalid value among the members' entries in the store
 	// and overwrites one of them.
 	ForeignEntry
-	// RestoreStore restores the store from a copy that is as old as the fault is
-	// long.
+	// RestoreStore restores the store from a backup whose age is the duration of the
+	// fault.
 	RestoreStore
 	kindCount
 )
--- a/node/soak/history.go
+++ b/node/soak/history.go
@@ -51,7 +51,7 @@
 func (r *request) ok() bool { return !r.unanswered && r.Code == "" }
 
 // startTime returns when the request or its transaction began. Freshness is
-// judged as of this time.
+// checked as of this time.
 func (r *request) startTime() time.Time {
 	if r.tx != nil {
 		return r.tx.beganAt
--- a/node/soak/inject.go
+++ b/node/soak/inject.go
@@ -8,8 +8,7 @@
 	"github.com/dotterelswitch/dotterelswitch/standin/lineplatform"
 )
 
-// memberDelay is the latency that DelayMember adds in each direction, several
-// times the service time of a statement.
+// memberDelay is the latency that DelayMember adds in each direction.
 const memberDelay = 60 * time.Millisecond
 
 // The number of answers that LoseAnswers drops, and of calls that RefusePromotion
--- a/node/soak/planned_stop.go
+++ b/node/soak/planned_stop.go
@@ -18,7 +18,7 @@
 }
 
 // interrupted reports whether the stop ended a request that the host had to
-// answer. ran tells whether a member ran the request.
+// answer. ran is set if a member ran the request.
 func (s plannedStop) interrupted(q *request, ran bool) bool {
 	if !q.unanswered || q.host != s.host || q.incarnation != s.incarnation {
 		return false
--- a/node/soak/routes.go
+++ b/node/soak/routes.go
@@ -19,9 +19,9 @@
 	olderRouteTolerance = 250 * time.Millisecond
 )
 
-// routeWatch publishes configurations and checks that no host reverts to an older
+// routeMonitor publishes configurations and checks that no host reverts to an older
 // one. Each version has one route that no other version has.
-type routeWatch struct {
+type routeMonitor struct {
 	platform *lineplatform.Platform
 	hosts    []*hostProcess
 	findings *findings
@@ -31,8 +31,8 @@
 	version int
 }
 
-func newRouteWatch(p *lineplatform.Platform, fleet []*hostProcess, f *findings) *routeWatch {
-	return &routeWatch{platform: p, hosts: fleet, findings: f}
+func newRouteMonitor(p *lineplatform.Platform, fleet []*hostProcess, f *findings) *routeMonitor {
+	return &routeMonitor{platform: p, hosts: fleet, findings: f}
 }
 
 func databaseOf(group int, database string) string { return fmt.Sprintf("%s-%d", database, group) }
@@ -41,12 +41,12 @@
 func versionDatabase(version int) string { return fmt.Sprintf("only-%d", version) }
 
 // publishNext publishes the next version of the configuration.
-func (w *routeWatch) publishNext() {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.version++
+func (m *routeMonitor) publishNext() {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	m.version++
 	var routes []lineplatform.Route
-	for n, service := range w.platform.Services() {
+	for n, service := range m.platform.Services() {
 		base := lineplatform.Route{Service: service, StatementTimeout: statementTimeout, TargetLatency: targetLatency, Priority: 1}
 		for database, consistency := range map[string]string{strictDatabase: "primary", boundedDatabase: "bounded_staleness", readYourWritesDatabase: "read_your_writes"} {
 			r := base
@@ -55,18 +55,18 @@
 		}
 		if n == 0 {
 			r := base
-			r.Database, r.Consistency = versionDatabase(w.version), "primary"
+			r.Database, r.Consistency = versionDatabase(m.version), "primary"
 			routes = append(routes, r)
 		}
 	}
-	w.platform.SetTeams(teamsOf(w.version)...)
-	w.platform.Configure(routes, txIdleTimeout)
+	m.platform.SetTeams(teamsOf(m.version)...)
+	m.platform.Configure(routes, txIdleTimeout)
 }
 
-func (w *routeWatch) newestVersion() int {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return w.version
+func (m *routeMonitor) newestVersion() int {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	return m.version
 }
 
 // observedVersion is the newest version that an incarnation of a host has served.
@@ -76,13 +76,13 @@
 }
 
 // run polls all hosts until the context is cancelled.
-func (w *routeWatch) run(ctx context.Context) {
+func (m *routeMonitor) run(ctx context.Context) {
 	var wg sync.WaitGroup
-	for _, h := range w.hosts {
+	for _, h := range m.hosts {
 		wg.Go(func() {
-			var s observedVersion
+			var last observedVersion
 			for ctx.Err() == nil {
-				w.poll(h, &s)
+				m.poll(h, &last)
 				time.Sleep(routePollInterval)
 			}
 		})
@@ -91,18 +91,18 @@
 }
 
 // poll checks whether a host serves the routes of the newest versions.
-func (w *routeWatch) poll(h *hostProcess, s *observedVersion) {
-	newest := w.newestVersion()
+func (m *routeMonitor) poll(h *hostProcess, last *observedVersion) {
+	newest := m.newestVersion()
 	for version := newest; version > max(newest-2, 0); version-- {
 		incarnation, sent := h.currentIncarnation(), time.Now()
 		if !hasRoute(h, version) || h.currentIncarnation() != incarnation {
 			continue
 		}
 		switch {
-		case s.incarnation != incarnation || version > s.version:
-			*s = observedVersion{version: version, incarnation: incarnation, at: time.Now()}
-		case version < s.version && sent.Sub(s.at) > olderRouteTolerance:
-			w.findings.add("%s went back from version %d to %d", h.name, s.version, version)
+		case last.incarnation != incarnation || version > last.version:
+			*last = observedVersion{version: version, incarnation: incarnation, at: time.Now()}
+		case version < last.version && sent.Sub(last.at) > olderRouteTolerance:
+			m.findings.add("%s went back from version %d to %d", h.name, last.version, version)
 		}
 	}
 }
--- a/node/soak/soak.go
+++ b/node/soak/soak.go
@@ -63,7 +63,7 @@
 	proxies  *memberProxies
 	hosts    []*hostProcess
 	findings findings
-	routes   *routeWatch
+	routes   *routeMonitor
 
 	// mu guards stops, the planned stops that must not interrupt any request.
 	mu    sync.Mutex
@@ -121,7 +121,7 @@
 		}
 		s.hosts = append(s.hosts, h)
 	}
-	s.routes = newRouteWatch(s.platform, s.hosts, &s.findings)
+	s.routes = newRouteMonitor(s.platform, s.hosts, &s.findings)
 	s.routes.publishNext()
 	for _, h := range s.hosts {
 		if err := h.start(); err != nil {
@@ -184,10 +184,10 @@
 				histories = append(histories, c.history)
 			}
 		}
-		e := groupRecord{runs: g.Executions(), termStarts: g.TermStarts(), commitCount: g.CommitCount, commitPosition: g.LastCommit}
-		check(e, histories, &s.findings)
-		records, all = append(records, e), append(all, histories...)
-		s.checkStops(histories, e.runs)
+		record := groupRecord{runs: g.Executions(), termStarts: g.TermStarts(), commitCount: g.CommitCount, commitPosition: g.LastCommit}
+		check(record, histories, &s.findings)
+		records, all = append(records, record), append(all, histories...)
+		s.checkStops(histories, record.runs)
 		for _, h := range histories {
 			r.count(h)
 		}
--- a/node/soak/teams.go
+++ b/node/soak/teams.go
@@ -78,8 +78,8 @@
 // one operation, counted at its first statement.
 func operationsOf(team string, records []groupRecord, histories []history) []operation {
 	ran := map[string]time.Time{}
-	for _, e := range records {
-		for _, r := range e.runs {
+	for _, record := range records {
+		for _, r := range record.runs {
 			if _, again := ran[r.ID]; !again {
 				ran[r.ID] = r.ExecutedAt
 			}
--- a/node/soak/teams_test.go
+++ b/node/soak/teams_test.go
@@ -34,17 +34,17 @@
 	const allowed = 46
 	for count, want := range map[int]int{allowed: 0, allowed + 1: 1} {
 		var h history
-		var e groupRecord
+		var record groupRecord
 		for i := range count {
 			at := time.Unix(100, 0).Add(time.Duration(i) * quotaWindow / 100)
 			tx := &transaction{}
 			for statement := range 3 {
 				r, run := readRunAs(fmt.Sprint("r", i, "-", statement), "colleges", "colleges", at, tx)
-				h.requests, e.runs = append(h.requests, r), append(e.runs, run)
+				h.requests, record.runs = append(h.requests, r), append(record.runs, run)
 			}
 		}
 		var found findings
-		checkLimits([]groupRecord{e}, []history{h}, &found)
+		checkLimits([]groupRecord{record}, []history{h}, &found)
 		require.Len(t, found.all(), want, "%d operations", count)
 	}
 }
