--- a/node/consul/consultest/memory.go
+++ b/node/consul/consultest/memory.go
@@ -48,7 +48,7 @@
 	return len(m.values)
 }
 
-// Largest returns the size of the largest value ever written, in bytes.
+// LargestValue returns the size of the largest value ever written, in bytes.
 func (m *Memory) LargestValue() int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/node/demo/demo.go
+++ b/node/demo/demo.go
@@ -172,7 +172,7 @@
 			break
 		}
 		if err := sleep(ctx, readyPollInterval); err != nil {
-			return fmt.Errorf("%d of %d hosts became ready and %d pools were held: %w", ready, len(d.hosts), owned, err)
+			return fmt.Errorf("%d of %d hosts became ready and %d pools were owned: %w", ready, len(d.hosts), owned, err)
 		}
 	}
 	return sleep(ctx, settleDelay)
--- a/node/eventlog/rate_limiter.go
+++ b/node/eventlog/rate_limiter.go
@@ -45,24 +45,24 @@
 
 // Allow reports whether a line of the event may be logged at the given time, and
 // how many lines were suppressed since the last one that was.
-func (b *RateLimiter) Allow(e Event, now time.Duration) (suppressed int, ok bool) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	w, found := b.windows[e.Number]
+func (r *RateLimiter) Allow(e Event, now time.Duration) (suppressed int, ok bool) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	w, found := r.windows[e.Number]
 	if !found {
 		w = &window{start: now}
-		b.windows[e.Number] = w
+		r.windows[e.Number] = w
 	}
 	if now-w.start >= time.Second || now < w.start {
 		w.start, w.written = now, 0
 	}
-	limit, set := b.perSecond[e.Number]
+	limit, set := r.perSecond[e.Number]
 	if !set {
 		limit = othersPerSecond
 	}
 	if w.written >= limit {
 		w.suppressed++
-		b.totalSuppressed++
+		r.totalSuppressed++
 		return 0, false
 	}
 	w.written++
@@ -71,8 +71,8 @@
 }
 
 // Suppressed returns the number of lines suppressed since the start.
-func (b *RateLimiter) Suppressed() int {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return b.totalSuppressed
+func (r *RateLimiter) Suppressed() int {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return r.totalSuppressed
 }
--- a/node/eventlog/rate_limiter_test.go
+++ b/node/eventlog/rate_limiter_test.go
@@ -12,20 +12,20 @@
 // Lines per second are limited, suppressed lines are counted, and lines of
 // successes do not use up the limit of failures.
 func TestRateLimiterBoundsLinesPerSecond(t *testing.T) {
-	b := eventlog.NewRateLimiter()
+	r := eventlog.NewRateLimiter()
 	written := 0
 	for range 5000 {
-		b.Allow(eventlog.StatementServed, 0)
-		if _, ok := b.Allow(eventlog.StatementFailed, 0); ok {
+		r.Allow(eventlog.StatementServed, 0)
+		if _, ok := r.Allow(eventlog.StatementFailed, 0); ok {
 			written++
 		}
 	}
 	require.Equal(t, 200, written)
-	suppressed, ok := b.Allow(eventlog.StatementFailed, time.Second)
+	suppressed, ok := r.Allow(eventlog.StatementFailed, time.Second)
 	require.True(t, ok)
 	require.Equal(t, 4800, suppressed)
-	suppressed, ok = b.Allow(eventlog.StatementFailed, time.Second)
+	suppressed, ok = r.Allow(eventlog.StatementFailed, time.Second)
 	require.True(t, ok)
 	require.Zero(t, suppressed, "suppressed lines are reported once")
-	require.Equal(t, 4800+4990, b.Suppressed())
+	require.Equal(t, 4800+4990, r.Suppressed())
 }
--- a/node/gossip/message.go
+++ b/node/gossip/message.go
@@ -71,7 +71,8 @@
 }
 
 // Floor is a log position at or above every commit of a service that was
-// acknowledged before a point in time.
+// acknowledged before a point in time: the minimum position of a read that must not
+// miss any of them.
 type Floor struct {
 	Service  string
 	Position logpos.Position
--- a/node/limits/limiter.go
+++ b/node/limits/limiter.go
@@ -142,7 +142,7 @@
 	case o := <-ch:
 		return o.retryAfter, o.admitted
 	case <-ctx.Done():
-		// The queue entry remains and is answered in its turn.
+		// The entry stays in the queue; its answer is discarded.
 		return 0, false
 	}
 }
