--- a/standin/dbgroup/member.go
+++ b/standin/dbgroup/member.go
@@ -42,7 +42,7 @@
 	applied     int
 	db          *database
 	grantedTerm logpos.Term
-	claimant    string
+	grantedTo   string
 	primary     bool
 	// followedTerm is the term whose primary the member replicates from, or 0.
 	followedTerm       logpos.Term
@@ -120,24 +120,25 @@
 	return m.log.entries[m.applied-1].position
 }
 
-// grantTerm grants each term to at most one claimant. A repeated claim by the
-// same claimant succeeds.
-func (m *Member) grantTerm(term logpos.Term, claimant string) bool {
+// grantTerm grants each term to at most one candidate. A repeated request by the
+// same candidate succeeds.
+func (m *Member) grantTerm(term logpos.Term, candidate string) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if term == m.grantedTerm && claimant == m.claimant {
+	if term == m.grantedTerm && candidate == m.grantedTo {
 		return true
 	}
 	if term <= m.grantedTerm {
 		return false
 	}
-	m.stepDown(term, claimant)
+	m.stepDown(term, candidate)
 	return true
 }
 
-// stepDown moves the member to a newer term, in which it follows no primary.
-func (m *Member) stepDown(term logpos.Term, claimant string) {
-	m.grantedTerm, m.claimant = term, claimant
+// stepDown moves the member to a newer term, in which it follows no primary. It
+// needs mu held.
+func (m *Member) stepDown(term logpos.Term, candidate string) {
+	m.grantedTerm, m.grantedTo = term, candidate
 	m.primary, m.followedTerm = false, 0
 	m.stopFollowing()
 	m.notifyChange()
@@ -168,11 +169,11 @@
 	}
 }
 
-// promote makes the member the primary of the term that it granted to claimant.
-func (m *Member) promote(term logpos.Term, claimant string) bool {
+// promote makes the member the primary of the term that it granted to candidate.
+func (m *Member) promote(term logpos.Term, candidate string) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if term != m.grantedTerm || claimant != m.claimant || m.followedTerm != 0 {
+	if term != m.grantedTerm || candidate != m.grantedTo || m.followedTerm != 0 {
 		return false
 	}
 	if m.primary {
--- a/standin/dbgroup/replication.go
+++ b/standin/dbgroup/replication.go
@@ -24,7 +24,7 @@
 		return m.followedTerm == term
 	}
 	if term > m.grantedTerm {
-		m.claimant = ""
+		m.grantedTo = ""
 	}
 	m.stopFollowing()
 	m.grantedTerm, m.primary, m.followedTerm = term, false, term
--- a/standin/lineplatform/store.go
+++ b/standin/lineplatform/store.go
@@ -33,14 +33,14 @@
 	DroppingAnswers
 )
 
-// initialEra is the era of a store that was never restored from a backup.
-const initialEra = 1
+// initialEpoch is the epoch of a store that was never restored from a backup.
+const initialEpoch = 1
 
 // Store is the key-value store. It is safe for concurrent use.
 type Store struct {
 	mu sync.Mutex
-	// era is incremented each time the store is restored from a backup.
-	era      uint64
+	// epoch is incremented each time the store is restored from a backup.
+	epoch    uint64
 	revision uint64
 	// compactedRevision is the oldest revision from which history is complete.
 	compactedRevision uint64
@@ -59,7 +59,7 @@
 }
 
 func newStore() *Store {
-	return &Store{era: initialEra, items: map[string]kvItem{}, leases: map[uint64]*lease{}, changeSignal: make(chan struct{}), closed: make(chan struct{})}
+	return &Store{epoch: initialEpoch, items: map[string]kvItem{}, leases: map[uint64]*lease{}, changeSignal: make(chan struct{}), closed: make(chan struct{})}
 }
 
 func (s *Store) close() {
--- a/standin/lineplatform/store_backup.go
+++ b/standin/lineplatform/store_backup.go
@@ -23,7 +23,7 @@
 	return b
 }
 
-// Restore resets the store to a backup and starts the next era. Later changes and
+// Restore resets the store to a backup and starts the next epoch. Later changes and
 // leases are lost, and their revisions are assigned again. The leases of the backup
 // restart with their full TTL.
 func (s *Store) Restore(b Backup) {
@@ -32,7 +32,7 @@
 	for _, l := range s.leases {
 		l.timer.Stop()
 	}
-	s.era++
+	s.epoch++
 	s.revision, s.compactedRevision = b.revision, b.revision
 	s.items, s.history = maps.Clone(b.items), nil
 	s.leases = map[uint64]*lease{}
@@ -42,11 +42,11 @@
 	s.notifyWatches()
 }
 
-// Era returns the store's era, which each restore increments.
-func (s *Store) Era() uint64 {
+// Epoch returns the store's epoch, which each restore increments.
+func (s *Store) Epoch() uint64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.era
+	return s.epoch
 }
 
 // Revision returns the store's revision at the time of the backup.
--- a/standin/lineplatform/store_calls.go
+++ b/standin/lineplatform/store_calls.go
@@ -60,7 +60,7 @@
 func (s *Store) serve(w http.ResponseWriter, r *http.Request, handler storeHandler) {
 	switch mode := s.countCall(r); {
 	case mode == Unavailable:
-		w.Header().Set("Store-Era", strconv.FormatUint(s.Era(), 10))
+		w.Header().Set("Store-Era", strconv.FormatUint(s.Epoch(), 10))
 		w.WriteHeader(http.StatusServiceUnavailable)
 	case mode == Unresponsive:
 		select {
@@ -88,7 +88,7 @@
 
 func (s *Store) respond(w http.ResponseWriter, r *http.Request, handler storeHandler) {
 	status, body := handler(r)
-	w.Header().Set("Store-Era", strconv.FormatUint(s.Era(), 10))
+	w.Header().Set("Store-Era", strconv.FormatUint(s.Epoch(), 10))
 	w.WriteHeader(status)
 	if body != nil {
 		// Encoding fails only if the client has closed the connection.
--- a/standin/platform/kv.go
+++ b/standin/platform/kv.go
@@ -23,7 +23,7 @@
 	}
 	s.waitForChange(r, key, after, wait)
 	if s.outage.Load() {
-		http.Error(w, "the service is out", http.StatusServiceUnavailable)
+		http.Error(w, "simulated outage", http.StatusServiceUnavailable)
 		return
 	}
 	s.mu.Lock()
--- a/standin/platform/server.go
+++ b/standin/platform/server.go
@@ -102,7 +102,7 @@
 			s.writes.Add(1)
 		}
 		if s.outage.Load() {
-			http.Error(w, "the service is out", http.StatusServiceUnavailable)
+			http.Error(w, "simulated outage", http.StatusServiceUnavailable)
 			return
 		}
 		time.Sleep(time.Duration(s.delay.Load()))
--- a/standin/workload/checker_test.go
+++ b/standin/workload/checker_test.go
@@ -47,12 +47,12 @@
 		"unknown and lost":           {workload.OutcomeUnknown, contents(), workload.Violations{}},
 		"unknown and stored":         {workload.OutcomeUnknown, contents("v"), workload.Violations{}},
 		"unknown and stored twice":   {workload.OutcomeUnknown, contents("v", "v"), workload.Violations{WritesDoubled: 1}},
-		"never written but stored":   {workload.OutcomeAcked, contents("v", "alien"), workload.Violations{WrongAnswers: 1}},
+		"never written but stored":   {workload.OutcomeAcked, contents("v", "unwritten"), workload.Violations{WrongAnswers: 1}},
 		"complete read":              {workload.OutcomeAcked, read([]string{"v"}, []string{"v"}, 0), workload.Violations{}},
 		"own write missing":          {workload.OutcomeAcked, read(nil, []string{"v"}, time.Hour), workload.Violations{RYWViolations: 1}},
 		"staler than allowed":        {workload.OutcomeAcked, read(nil, nil, 5*time.Second), workload.Violations{StalenessViolations: 1}},
 		"stale as allowed":           {workload.OutcomeAcked, read(nil, nil, 20*time.Second), workload.Violations{}},
-		"unknown value in an answer": {workload.OutcomeAcked, read([]string{"v", "alien"}, nil, 0), workload.Violations{WrongAnswers: 1}},
+		"unknown value in an answer": {workload.OutcomeAcked, read([]string{"v", "unwritten"}, nil, 0), workload.Violations{WrongAnswers: 1}},
 		"duplicate row in an answer": {workload.OutcomeAcked, read([]string{"v", "v"}, nil, 0), workload.Violations{WrongAnswers: 1}},
 	} {
 		t.Run(name, func(t *testing.T) {
--- a/standin/workload/run.go
+++ b/standin/workload/run.go
@@ -40,10 +40,10 @@
 
 // countError counts an error by its text.
 func (r *run) countError(err error) {
-	const maxKinds = 200
+	const maxErrorTexts = 200
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if len(r.errors) < maxKinds || r.errors[err.Error()] > 0 {
+	if len(r.errors) < maxErrorTexts || r.errors[err.Error()] > 0 {
 		r.errors[err.Error()]++
 	}
 }
