--- a/node/eventlog/event.go
+++ b/node/eventlog/event.go
@@ -11,7 +11,7 @@
 }
 
 // The events. Numbers are grouped: 1xx process, 2xx callers, 3xx upstreams,
-// 4xx groups, 5xx hosts, 6xx configuration.
+// 4xx groups, 5xx hosts, 6xx configuration and store.
 var (
 	Started               = Event{101, "host_started"}
 	Stopping              = Event{102, "host_stopping"}
--- a/node/limits/limiter.go
+++ b/node/limits/limiter.go
@@ -52,22 +52,26 @@
 type Limiter struct {
 	cfg Config
 
-	// mu guards the fields below. local decides on this host's operations, counter on
-	// those that hosts request from it.
-	mu      sync.Mutex
-	local   *quota.Limiter
+	// mu guards the fields below.
+	mu sync.Mutex
+	// local admits this host's operations.
+	local *quota.Limiter
+	// counter grants the operations that other hosts request from this one.
 	counter *quota.Counter
 	// waiting holds the operations that wait for a grant, by team, oldest first.
 	waiting map[string][]chan outcome
-	// hosts are the registered hosts; addresses are their datagram addresses by name.
-	hosts     []quota.Host
+	// hosts are the registered hosts.
+	hosts []quota.Host
+	// addresses are the datagram addresses of the registered hosts by name.
 	addresses map[string]string
 	// placements caches the placement of each team for the current hosts.
 	placements map[string]cachedPlacement
-	// unresponsiveUntil is the time until which a counter is skipped, by host name;
-	// exhaustedUntil is the time until which it is skipped for one team.
+	// unresponsiveUntil is the time until which a counter that did not answer is
+	// skipped, by host name.
 	unresponsiveUntil map[string]time.Duration
-	exhaustedUntil    map[counterKey]time.Duration
+	// exhaustedUntil is the time until which a counter with nothing left to grant is
+	// skipped for a team.
+	exhaustedUntil map[counterKey]time.Duration
 }
 
 // cachedPlacement is a placement and the limit that it was computed for.
--- a/node/platformdemo/demo.go
+++ b/node/platformdemo/demo.go
@@ -189,6 +189,7 @@
 	case f == HostStop:
 		hosts[0].Stop()
 	case primary == nil:
+		// The other faults need a primary.
 	case f == PrimaryCrash:
 		primary.Crash()
 	case f == DrainPrimary:
--- a/node/registry/follow.go
+++ b/node/registry/follow.go
@@ -36,9 +36,9 @@
 // errRelayTimeout ends the stream of a relay that sends neither updates nor heartbeats.
 var errRelayTimeout = errors.New("relay sent no update or heartbeat within the timeout")
 
-// errNotFollowing refuses a follower while this host has no recent contact with the
+// errNoStoreContact refuses a follower while this host has no recent contact with the
 // store.
-var errNotFollowing = errors.New("this host does not follow the store at present")
+var errNoStoreContact = errors.New("this host does not follow the store at present")
 
 // maxHistoryItems bounds the changes that a relay keeps for followers that reconnect. A
 // follower that lacks more receives a complete listing.
@@ -159,7 +159,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if !r.hasRecentContact(clock.Now()) {
-		return Update{}, nil, errNotFollowing
+		return Update{}, nil, errNoStoreContact
 	}
 	if after.Epoch() > r.revision.Epoch() {
 		r.observeEpoch(after.Epoch())
--- a/node/registry/follow_test.go
+++ b/node/registry/follow_test.go
@@ -80,7 +80,7 @@
 	} {
 		r := relayAt(6, 4)
 		loseContact(r)
-		require.ErrorIs(t, r.StreamUpdates(context.Background(), 6, nil), errNotFollowing)
+		require.ErrorIs(t, r.StreamUpdates(context.Background(), 6, nil), errNoStoreContact)
 	}
 }
 
--- a/node/registry/peers.go
+++ b/node/registry/peers.go
@@ -27,15 +27,15 @@
 func (r *Registry) PollPeers(ctx context.Context, fetch FetchListingFunc) {
 	for ctx.Err() == nil {
 		clock.Sleep(ctx, peerPollInterval)
-		if above, needed := r.needsPeers(clock.Now()); needed {
+		if above, needed := r.shouldPollPeers(clock.Now()); needed {
 			r.pollPeer(ctx, fetch, above)
 		}
 	}
 }
 
-// needsPeers returns the newest known revision, and whether the store has been
+// shouldPollPeers returns the newest known revision, and whether the store has been
 // unreachable for at least peerPollDelay.
-func (r *Registry) needsPeers(now time.Duration) (store.Revision, bool) {
+func (r *Registry) shouldPollPeers(now time.Duration) (store.Revision, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return max(r.revision, r.peerRevision), r.unreachable && now-r.unreachableSince >= peerPollDelay
--- a/node/registry/registry.go
+++ b/node/registry/registry.go
@@ -85,20 +85,20 @@
 	// peerRevision is the newest revision that was learned from another host while
 	// the store was unreachable.
 	peerRevision store.Revision
-	// relaySelector chooses the relay to follow; direct is set while this host watches
-	// the store itself.
+	// relaySelector chooses the relay to follow.
 	relaySelector *relay.Selector
-	direct        bool
+	// direct is set while this host watches the store itself.
+	direct bool
 	// cancelWatch cancels the watch in progress.
 	cancelWatch context.CancelFunc
 	// followedRelay is the name of the relay that this host follows; empty for none.
 	followedRelay string
 	// lastContact is when the store or the relay last answered.
 	lastContact time.Duration
-	// history holds the changes after historyStart, for followers. historyChanged is
-	// closed and replaced at each change.
-	history        []store.Item
-	historyStart   store.Revision
+	// history holds the changes after historyStart, for followers.
+	history      []store.Item
+	historyStart store.Revision
+	// historyChanged is closed and replaced at each change of the history.
 	historyChanged chan struct{}
 	followers      int
 	updateCounts   UpdateCounts
--- a/node/registry/restored_store_test.go
+++ b/node/registry/restored_store_test.go
@@ -98,7 +98,7 @@
 	first := p.Configure(nil, time.Second)
 	relayHost, follower := relayAndFollower(t, registerFleet(p))
 	watching := runRegistry(t, p, relayHost, func(context.Context, string, store.Revision, func(Update)) error {
-		return errNotFollowing
+		return errNoStoreContact
 	})
 	// A follower skips a relay that has not listed the store yet.
 	requireConfigVersion(t, "relay", watching, first)
--- a/node/registry/run.go
+++ b/node/registry/run.go
@@ -25,8 +25,8 @@
 	// bursts of changes, such as the registrations of a whole fleet that starts.
 	watchSpacing = 100 * time.Millisecond
 	// noRelayWatchSpacing replaces watchSpacing for a host that watches the store only
-	// until it finds a relay; noRelayBackoff is its backoff. Most hosts of a fleet are
-	// in this state during a store outage, and none of them has followers.
+	// until it finds a relay. Most hosts of a fleet are in this state during a store
+	// outage, and none of them has followers.
 	noRelayWatchSpacing = 500 * time.Millisecond
 	// listTimeout bounds a listing of the members' entries.
 	listTimeout = 3 * time.Second
@@ -41,6 +41,7 @@
 	// startupBackoff spaces the first calls of a host that has no configuration yet
 	// and cannot serve. It is short because any further wait delays service.
 	startupBackoff = retry.Backoff{Base: 50 * time.Millisecond, Max: 200 * time.Millisecond}
+	// noRelayBackoff replaces backoff for a host that awaits a relay.
 	noRelayBackoff = retry.Backoff{Base: 100 * time.Millisecond, Max: 2 * time.Second}
 )
 
--- a/node/soak/caller.go
+++ b/node/soak/caller.go
@@ -13,10 +13,10 @@
 )
 
 const (
-	// statementTimeout is the routes' timeout; answerTimeout is how long a caller
-	// waits for an answer.
+	// statementTimeout is the timeout that the routes configure.
 	statementTimeout = 2 * time.Second
-	answerTimeout    = 3 * statementTimeout
+	// answerTimeout is how long a caller waits for an answer.
+	answerTimeout = 3 * statementTimeout
 	// maxThinkTime bounds a caller's pause between statements.
 	maxThinkTime = 20 * time.Millisecond
 	// sharedItems is the number of items that all callers read and write.
--- a/node/soak/history.go
+++ b/node/soak/history.go
@@ -33,11 +33,11 @@
 	database string
 	// team is the caller's team.
 	team string
-	// session identifies the connection, uniquely in a run; tx is nil outside of a
-	// transaction.
+	// session identifies the connection, uniquely in a run.
 	session string
-	tx      *transaction
-	host    *hostProcess
+	// tx is nil outside of a transaction.
+	tx   *transaction
+	host *hostProcess
 	// incarnation is that of the host when the session was opened.
 	incarnation        int
 	sentAt, answeredAt time.Time
@@ -59,7 +59,7 @@
 	return r.sentAt
 }
 
-// transactionResult is what a caller knows about the end of a transaction.
+// transactionResult is the outcome of a transaction as far as its caller knows it.
 type transactionResult uint8
 
 const (
--- a/node/soak/inject.go
+++ b/node/soak/inject.go
@@ -73,8 +73,8 @@
 	host.stop()
 }
 
-func (s *soakRun) failStore(o lineplatform.FailureMode, d time.Duration) {
-	s.platform.Store.SetFailureMode(o)
+func (s *soakRun) failStore(mode lineplatform.FailureMode, d time.Duration) {
+	s.platform.Store.SetFailureMode(mode)
 	time.Sleep(d)
 	s.platform.Store.SetFailureMode(lineplatform.Healthy)
 }
--- a/node/soak/soak.go
+++ b/node/soak/soak.go
@@ -65,8 +65,9 @@
 	findings findings
 	routes   *routeMonitor
 
-	// mu guards stops, the planned stops that must not interrupt any request.
-	mu    sync.Mutex
+	// mu guards stops.
+	mu sync.Mutex
+	// stops are the planned stops that must not interrupt any request.
 	stops []plannedStop
 }
 
--- a/standin/dbgroup/faults.go
+++ b/standin/dbgroup/faults.go
@@ -10,9 +10,10 @@
 type faults struct {
 	mu sync.Mutex
 	// resumed is closed unless the member is paused.
-	resumed        chan struct{}
-	crashed        atomic.Bool
-	paused         atomic.Bool
+	resumed chan struct{}
+	crashed atomic.Bool
+	paused  atomic.Bool
+	// statementDelay is a time.Duration.
 	statementDelay atomic.Int64
 }
 
--- a/standin/lineplatform/boot.go
+++ b/standin/lineplatform/boot.go
@@ -10,9 +10,10 @@
 type Boot struct {
 	Host, Zone, IP string
 	// CallerAddress and ReadyAddress are where the host listens for callers and for
-	// readiness probes; PeerPort is where it listens for other hosts.
+	// readiness probes.
 	CallerAddress, ReadyAddress string
-	PeerPort                    int
+	// PeerPort is where it listens for other hosts.
+	PeerPort int
 	// PlatformAddress serves the store and the promotion call.
 	PlatformAddress                  string
 	GracePeriod                      time.Duration
--- a/standin/lineplatform/conn.go
+++ b/standin/lineplatform/conn.go
@@ -129,6 +129,7 @@
 func (c *conn) handleQuery(line string) bool {
 	id, text, _ := strings.Cut(strings.TrimPrefix(line, "QUERY "), " ")
 	answer := c.execute(id, text)
+	// The id "-" marks statements of the host itself, whose answers are not dropped.
 	if id != "-" && c.member.answersToDrop.Load() > 0 {
 		c.member.answersToDrop.Add(-1)
 		return true
@@ -315,7 +316,7 @@
 }
 
 // control executes STATUS, PAUSE, RESUME or STEPDOWN and answers with the member's
-// status.
+// status. The reported lag is always zero.
 func (m *Member) control(verb string, term uint64) reply {
 	m.group.mu.Lock()
 	defer m.group.mu.Unlock()
--- a/standin/lineplatform/group.go
+++ b/standin/lineplatform/group.go
@@ -148,7 +148,7 @@
 	return g.opts.AdvertisedAddress(address)
 }
 
-// Remove stops a draining member, deletes its entry and drops it from the group.
+// Remove stops a draining member, deletes its entry and removes it from the group.
 func (g *Group) Remove(m *Member) {
 	m.Crash()
 	m.Deregister()
--- a/standin/lineplatform/member.go
+++ b/standin/lineplatform/member.go
@@ -25,10 +25,10 @@
 	draining bool
 	down     bool
 	term     uint64
-	// startedAtMS is the time of the last start as Unix milliseconds; sequence counts
-	// the entries written since.
+	// startedAtMS is the time of the last start as Unix milliseconds.
 	startedAtMS int64
-	sequence    uint64
+	// sequence counts the entries written since the last start.
+	sequence uint64
 	// pausedTerm is the term for which PAUSE stopped replication, or zero.
 	pausedTerm         uint64
 	replicationBlocked bool
@@ -38,10 +38,11 @@
 
 	// restartMu serializes restarts.
 	restartMu sync.Mutex
-	// unresponsive is set while the member answers nothing; answersToDrop is how many
-	// statements still get no answer, and statementsToRefuse how many still get BUSY.
-	unresponsive       atomic.Bool
-	answersToDrop      atomic.Int64
+	// unresponsive is set while the member answers nothing.
+	unresponsive atomic.Bool
+	// answersToDrop is how many of the next statements get no answer.
+	answersToDrop atomic.Int64
+	// statementsToRefuse is how many of the next reads and writes get BUSY.
 	statementsToRefuse atomic.Int64
 	acceptedLogins     atomic.Int64
 	refusedLogins      atomic.Int64
--- a/standin/netem/network.go
+++ b/standin/netem/network.go
@@ -25,7 +25,7 @@
 // between regions.
 type Latency struct {
 	InZone      time.Duration
-	InterAZ     time.Duration
+	InterZone   time.Duration
 	InterRegion time.Duration
 }
 
@@ -106,7 +106,7 @@
 	case za == zb:
 		return n.latency.InZone
 	case n.regions[za] == n.regions[zb]:
-		return n.latency.InterAZ
+		return n.latency.InterZone
 	default:
 		return n.latency.InterRegion
 	}
--- a/standin/platform/server.go
+++ b/standin/platform/server.go
@@ -23,16 +23,18 @@
 
 // Server simulates a Consul agent. It is safe for concurrent use.
 type Server struct {
-	mu            sync.Mutex
-	index         uint64
-	items         map[string]item
-	sessions      map[string]session
-	services      []registration
+	mu       sync.Mutex
+	index    uint64
+	items    map[string]item
+	sessions map[string]session
+	services []registration
+	// changed is closed and replaced at each change, and when an outage starts or ends.
 	changed       chan struct{}
 	lastSessionID uint64
 
-	listLag         time.Duration
-	outage          atomic.Bool
+	listLag time.Duration
+	outage  atomic.Bool
+	// delay is a time.Duration.
 	delay           atomic.Int64
 	responsesToDrop atomic.Int64
 	calls           atomic.Int64
--- a/standin/workload/caller.go
+++ b/standin/workload/caller.go
@@ -21,10 +21,10 @@
 	meanRequestsPerEntry = 25
 	// subjectCount is the number of subjects per service.
 	subjectCount = 400
-	// transactionShare is the fraction of writes in an explicit transaction;
-	// idempotentShare is the fraction of the others with an idempotency key.
+	// transactionShare is the fraction of writes in an explicit transaction.
 	transactionShare = 0.15
-	idempotentShare  = 0.5
+	// idempotentShare is the fraction of the other writes with an idempotency key.
+	idempotentShare = 0.5
 	// resendTimeout limits the retries of a write with an idempotency key.
 	resendTimeout = 20 * time.Second
 	retryDelay    = 100 * time.Millisecond
--- a/standin/workload/spec.go
+++ b/standin/workload/spec.go
@@ -63,7 +63,7 @@
 			{Name: "calgary-hall", Region: "alta"},
 			{Name: "winnipeg-hall", Region: "mani"},
 		},
-		Latency:     netem.Latency{InZone: 50 * time.Microsecond, InterAZ: 500 * time.Microsecond, InterRegion: 10 * time.Millisecond},
+		Latency:     netem.Latency{InZone: 50 * time.Microsecond, InterZone: 500 * time.Microsecond, InterRegion: 10 * time.Millisecond},
 		CallerDelay: 3 * time.Millisecond,
 		Services:    3, ServiceName: "vsarchive",
 		Member: dbgroup.MemberConfig{
@@ -89,7 +89,7 @@
 			{Name: "mtl-anjou", Region: "mtl"},
 			{Name: "estrie-sherb", Region: "estrie"},
 		},
-		Latency:     netem.Latency{InZone: 50 * time.Microsecond, InterAZ: time.Millisecond, InterRegion: 20 * time.Millisecond},
+		Latency:     netem.Latency{InZone: 50 * time.Microsecond, InterZone: time.Millisecond, InterRegion: 20 * time.Millisecond},
 		CallerDelay: time.Millisecond,
 		Services:    3, ServiceName: "agenda-db",
 		Member: dbgroup.MemberConfig{
