--- a/node/cmd/dotterelswitch/platform.go
+++ b/node/cmd/dotterelswitch/platform.go
@@ -138,10 +138,10 @@
 
 func entrySettings(s platformSettings, boot platform.Boot, disabled mechanism.Disabled) entry.Settings {
 	out := entry.Settings{
-		Host: boot.Host, Places: replicaset.Topology{Zone: boot.Zone, Regions: boot.Regions},
+		Host: boot.Host, Topology: replicaset.Topology{Zone: boot.Zone, Regions: boot.Regions},
 		CallerAddress: boot.CallerAddress, ReadinessAddress: boot.ReadyAddress,
 		MaxSessions: max(boot.MaxFileDescriptors-reservedDescriptors, minMaxSessions), Workers: s.workers,
-		GracePeriod: boot.GracePeriod, DrainBound: boot.DrainTimeout, ConfigBound: boot.MaxConfigApplyTime, QuotaTolerance: boot.QuotaTolerance,
+		GracePeriod: boot.GracePeriod, DrainTimeout: boot.DrainTimeout, MaxConfigApplyTime: boot.MaxConfigApplyTime, QuotaTolerance: boot.QuotaTolerance,
 		PeerAddress: net.JoinHostPort(boot.IP, strconv.Itoa(boot.PeerPort)), Disabled: disabled,
 	}
 	if s.metricsPort > 0 {
--- a/node/edge/caller.go
+++ b/node/edge/caller.go
@@ -107,11 +107,11 @@
 // work processes messages until the inbox is empty.
 func (s *caller) work() {
 	for {
-		a, ok := s.next()
+		m, ok := s.next()
 		if !ok {
 			return
 		}
-		if !s.handle(a) {
+		if !s.handle(m) {
 			s.close()
 		}
 	}
@@ -135,25 +135,25 @@
 		s.closeIfDraining()
 		return receivedMessage{}, false
 	}
-	a := s.inbox[0]
+	m := s.inbox[0]
 	s.inbox = s.inbox[1:]
 	s.idleInTxSince = 0
-	return a, true
+	return m, true
 }
 
 // handle processes one message. It reports whether the session continues.
-func (s *caller) handle(a receivedMessage) bool {
-	switch a.message.Kind {
+func (s *caller) handle(m receivedMessage) bool {
+	switch m.message.Kind {
 	case statement.Terminate:
 		return false
 	case statement.Login:
-		return s.login(a.message)
+		return s.login(m.message)
 	case statement.Query:
 		if s.session == nil {
 			s.send(s.gateway.proto.EncodeFatal(statement.Invalid, "a session starts with a login"))
 			return false
 		}
-		s.handleQuery(a)
+		s.handleQuery(m)
 		return true
 	default:
 		s.gateway.logLimited(eventlog.CallerViolation, func(l *zerolog.Event) {
--- a/node/edge/query.go
+++ b/node/edge/query.go
@@ -105,18 +105,18 @@
 
 // runOnMember runs a statement on a member.
 func (s *caller) runOnMember(st statement.Statement, route catalog.Route, receivedAt time.Duration) replicaset.Outcome {
-	w := s.newWork(st, route, receivedAt)
-	set := s.gateway.backend.AwaitSet(s.ctx, route.Service, w.StartDeadline)
+	req := s.newRequest(st, route, receivedAt)
+	set := s.gateway.backend.AwaitSet(s.ctx, route.Service, req.StartDeadline)
 	if set == nil {
 		return replicaset.Outcome{Answer: s.failStatement(statement.ErrorAnswer(statement.Busy, "no member of the service is known", statement.Idle))}
 	}
 	if s.tx != nil {
-		return s.runInTransaction(set, w)
+		return s.runInTransaction(set, req)
 	}
 	if retryAfter, admitted := s.gateway.backend.AdmitOperation(s.ctx, s.team); !admitted {
 		return s.refuseOperation(st, retryAfter)
 	}
-	out := s.startOperation(set, w)
+	out := s.startOperation(set, req)
 	if out.Answer.Code == statement.Busy && out.Answer.Signature == "" && s.tx == nil {
 		s.gateway.backend.RefundOperation(s.team)
 	}
@@ -150,7 +150,7 @@
 	}
 }
 
-func (s *caller) newWork(st statement.Statement, route catalog.Route, receivedAt time.Duration) replicaset.Request {
+func (s *caller) newRequest(st statement.Statement, route catalog.Route, receivedAt time.Duration) replicaset.Request {
 	endDeadline := receivedAt + route.StatementTimeout - responseMargin
 	startDeadline := endDeadline - executionMargin
 	onTimeUntil := receivedAt + time.Duration(connpool.OnTimeWaitFraction*float64(route.TargetLatency))
@@ -164,29 +164,29 @@
 
 // runInTransaction runs a statement in the open transaction. The first statement
 // selects the transaction's member.
-func (s *caller) runInTransaction(set *replicaset.Set, w replicaset.Request) replicaset.Outcome {
+func (s *caller) runInTransaction(set *replicaset.Set, req replicaset.Request) replicaset.Outcome {
 	out := replicaset.Outcome{}
 	if s.tx == nil {
-		tx, beginOutcome := set.Begin(s.ctx, w)
+		tx, beginOutcome := set.Begin(s.ctx, req)
 		out = beginOutcome
 		if tx == nil {
-			out.Answer = s.failPossibleCommit(w.Statement, out.Answer)
+			out.Answer = s.failPossibleCommit(req.Statement, out.Answer)
 			return out
 		}
 		s.tx = tx
 	}
 	out.Member, out.Gate = s.tx.Member(), s.tx.Gate()
-	switch w.Statement.Kind {
+	switch req.Statement.Kind {
 	case statement.Commit:
-		out.Answer = s.tx.Commit(s.ctx, w, s.session.Wrote)
+		out.Answer = s.tx.Commit(s.ctx, req, s.session.Wrote)
 		if s.session.Wrote {
 			s.recordCommit(out.Answer)
 		}
 		s.tx = nil
 		s.session.EndTransaction()
 	default:
-		s.session.Wrote = s.session.Wrote || w.Statement.Writes()
-		out.Answer = s.tx.Do(s.ctx, w)
+		s.session.Wrote = s.session.Wrote || req.Statement.Writes()
+		out.Answer = s.tx.Do(s.ctx, req)
 		if out.Answer.State != statement.Open {
 			out.Answer = s.failStatement(out.Answer)
 		}
--- a/node/entry/entry.go
+++ b/node/entry/entry.go
@@ -47,7 +47,7 @@
 // Settings are the start parameters of a host.
 type Settings struct {
 	Host             string
-	Places           replicaset.Topology
+	Topology         replicaset.Topology
 	CallerAddress    string
 	ReadinessAddress string
 	// MetricsAddress serves metrics and the inspection API; empty for neither.
@@ -60,9 +60,9 @@
 	GracePeriod time.Duration
 	// DrainBound bounds the time during which a member that has announced its
 	// drain may still be sent new work.
-	DrainBound time.Duration
+	DrainTimeout time.Duration
 	// ConfigBound is the time within which a configuration change must be active.
-	ConfigBound time.Duration
+	MaxConfigApplyTime time.Duration
 	// QuotaTolerance is by how much teams may exceed their limits.
 	QuotaTolerance quota.Tolerance
 	// Disabled lists the mechanisms that are switched off.
@@ -95,9 +95,9 @@
 	owner    string
 	stopping atomic.Bool
 	// remoteJobs counts the running jobs of other hosts.
-	remoteJobs    atomic.Int64
-	reconcileWake chan struct{}
-	failed        chan error
+	remoteJobCount atomic.Int64
+	reconcileWake  chan struct{}
+	failed         chan error
 	// fleet is the list of hosts last passed to the sets. fleetStability decides
 	// whether a starting host has a stable view of the fleet, and fleetWasStable
 	// records that it had. Only reconcile accesses these fields.
@@ -116,17 +116,17 @@
 	h := &Host{
 		settings: s, adapter: a, dial: dial, log: log.With().Str("host", s.Host).Logger(),
 		reconcileWake: make(chan struct{}, 1), failed: make(chan error, 1), sets: map[string]*replicaset.Set{}, promoters: map[string]*promoter.Promoter{},
-		metrics: newHostMetrics(), logBudget: eventlog.NewRateLimiter(), traffic: newTrafficCounts(), startedAt: clock.Now(), fleet: gates.NewFleet(nil, s.Places.Regions),
+		metrics: newHostMetrics(), logBudget: eventlog.NewRateLimiter(), traffic: newTrafficCounts(), startedAt: clock.Now(), fleet: gates.NewFleet(nil, s.Topology.Regions),
 	}
 	h.ctx, h.cancel = context.WithCancel(context.Background())
 	h.owner = fmt.Sprintf("%s@%d", s.Host, clock.Now())
 	h.gates = peer.NewGateClient(h.ctx, dial, h.owner)
 	h.registry = registry.New(registry.Config{
 		Store: registry.NewCountingStore(a.Store, h.recordStoreCall), Documents: a.Documents,
-		Self:               gates.Host{Name: s.Host, Zone: s.Places.Zone, Address: s.PeerAddress},
-		MaxConfigApplyTime: s.ConfigBound, FollowHost: h.gates.Follow, FetchConfig: h.gates.Configuration, Disabled: s.Disabled, Changed: h.wakeReconcile, Log: h.log,
+		Self:               gates.Host{Name: s.Host, Zone: s.Topology.Zone, Address: s.PeerAddress},
+		MaxConfigApplyTime: s.MaxConfigApplyTime, FollowHost: h.gates.Follow, FetchConfig: h.gates.Configuration, Disabled: s.Disabled, Changed: h.wakeReconcile, Log: h.log,
 	})
-	h.limiter = limits.New(limits.Config{Self: quota.Host{Name: s.Host, Region: s.Places.Region(s.Places.Zone)}, Tolerance: s.QuotaTolerance, RequestGrant: h.requestGrant, Limit: h.limitOf, RegisteredAtStart: h.registry.RegisteredAtStart})
+	h.limiter = limits.New(limits.Config{Self: quota.Host{Name: s.Host, Region: s.Topology.Region(s.Topology.Zone)}, Tolerance: s.QuotaTolerance, RequestGrant: h.requestGrant, Limit: h.limitOf, RegisteredAtStart: h.registry.RegisteredAtStart})
 	if err := h.listen(); err != nil {
 		h.cancel()
 		return nil, err
@@ -178,7 +178,7 @@
 	case err := <-h.failed:
 		return err
 	}
-	eventlog.Started.Info(h.log).Str("listen", h.settings.CallerAddress).Str("zone", h.settings.Places.Zone).Strs("without", h.settings.Disabled.Names()).Send()
+	eventlog.Started.Info(h.log).Str("listen", h.settings.CallerAddress).Str("zone", h.settings.Topology.Zone).Strs("without", h.settings.Disabled.Names()).Send()
 	return nil
 }
 
@@ -287,15 +287,15 @@
 	}
 	var p *promoter.Promoter
 	s := replicaset.New(replicaset.Config{
-		Service: service, Dial: h.dial, Proto: h.adapter.Members, Topology: h.settings.Places,
-		DrainTimeout: h.settings.DrainBound, RequestFloor: h.queryPeersForFloor, OnSuspect: func() { p.Wake() },
+		Service: service, Dial: h.dial, Proto: h.adapter.Members, Topology: h.settings.Topology,
+		DrainTimeout: h.settings.DrainTimeout, RequestFloor: h.queryPeersForFloor, OnSuspect: func() { p.Wake() },
 		Remote: h.remote(), Owner: h.owner, Host: h.settings.Host, Disabled: h.settings.Disabled, Log: h.log,
 	})
 	p = promoter.New(promoter.Config{
 		Service: service, Host: h.settings.Host, Set: s, Registry: h.registry, Platform: h.adapter.Promotion, Peers: h,
 		Disabled: h.settings.Disabled,
 		Spec:     func() catalog.Service { return h.registry.Catalog().Services[service] },
-		Observe:  func(r promoter.Result) { h.metrics.promotion(service, r) }, Log: h.log,
+		OnResult: func(r promoter.Result) { h.metrics.promotion(service, r) }, Log: h.log,
 	})
 	h.wg.Go(func() { s.Probe(ctx) })
 	h.wg.Go(func() { p.Run(ctx) })
--- a/node/entry/helpers_test.go
+++ b/node/entry/helpers_test.go
@@ -140,9 +140,9 @@
 	d.t.Helper()
 	name := fmt.Sprintf("host-%d", len(d.hosts)+1)
 	s := entry.Settings{
-		Host: name, Places: replicaset.Topology{Zone: "a", Regions: map[string]string{"a": "r", "b": "r", "c": "r"}},
+		Host: name, Topology: replicaset.Topology{Zone: "a", Regions: map[string]string{"a": "r", "b": "r", "c": "r"}},
 		CallerAddress: freeAddress(d.t), ReadinessAddress: freeAddress(d.t), PeerAddress: freeAddress(d.t), MetricsAddress: freeAddress(d.t),
-		MaxSessions: 1000, Workers: 256, GracePeriod: 2 * time.Second, DrainBound: 7 * time.Second,
+		MaxSessions: 1000, Workers: 256, GracePeriod: 2 * time.Second, DrainTimeout: 7 * time.Second,
 		QuotaTolerance: d.tolerance,
 	}
 	a := onplatform.NewAdapter(onplatform.Options{Host: name, StoreAddress: store, PromotionAddress: d.platform.Address(), Timeout: time.Second})
--- a/node/entry/limits.go
+++ b/node/entry/limits.go
@@ -52,7 +52,7 @@
 	var hosts []quota.Host
 	addresses := map[string]string{}
 	for _, other := range f.Hosts() {
-		hosts = append(hosts, quota.Host{Name: other.Name, Region: h.settings.Places.Region(other.Zone)})
+		hosts = append(hosts, quota.Host{Name: other.Name, Region: h.settings.Topology.Region(other.Zone)})
 		addresses[other.Name] = other.Address
 	}
 	h.limiter.SetFleet(hosts, addresses)
--- a/node/entry/peers.go
+++ b/node/entry/peers.go
@@ -45,8 +45,8 @@
 
 // RunJob implements peer.GateHandler.
 func (h *Host) RunJob(ctx context.Context, service string, j replicaset.Job) replicaset.Result {
-	h.remoteJobs.Add(1)
-	defer h.remoteJobs.Add(-1)
+	h.remoteJobCount.Add(1)
+	defer h.remoteJobCount.Add(-1)
 	s := h.AwaitSet(ctx, service, j.Request.StartDeadline)
 	if s == nil {
 		return replicaset.Result{Err: &replicaset.RefusedError{Reason: "the service is not known here"}}
@@ -60,7 +60,7 @@
 	}
 	if suppressed, ok := h.logBudget.Allow(eventlog.GateJobFailed, clock.Now()); ok {
 		eventlog.GateJobFailed.Info(h.log).Str("request", j.Request.Statement.ID).Str("service", service).
-			Str("upstream", j.Member).Str("owner", j.Owner).Bool("handed", res.StatementSent).
+			Str("upstream", j.Member).Str("owner", j.Owner).Bool("handed", res.StatementMayHaveRun).
 			Dur("waited_ms", res.Waited).Err(res.Err).Int("left_out", suppressed).Send()
 	}
 	return res
@@ -99,7 +99,7 @@
 	now := clock.Now()
 	var out gossip.Message
 	if q := m.AskLost; q != nil {
-		out.Opinion = h.opinion(*q)
+		out.Opinion = h.peerReport(*q)
 	}
 	if l := m.Lead; l != nil {
 		if s := h.Set(l.Service); s != nil {
--- a/node/entry/promotion_peers.go
+++ b/node/entry/promotion_peers.go
@@ -9,12 +9,12 @@
 )
 
 // opinion answers another host's question whether a primary is lost.
-func (h *Host) opinion(q gossip.LostQuestion) *gossip.Opinion {
+func (h *Host) peerReport(q gossip.LostQuestion) *gossip.Opinion {
 	p := h.promoter(q.Service)
 	if p == nil {
 		return &gossip.Opinion{}
 	}
-	o := p.Opinion(h.ctx, q.Upstream)
+	o := p.PeerReport(h.ctx, q.Upstream)
 	return &gossip.Opinion{Dead: o.Dead, Reaches: o.Reaches, StoreReached: o.StoreReached, Lock: o.Lock, Leading: o.Leading}
 }
 
@@ -22,12 +22,12 @@
 func (h *Host) AddressOf(host string) (string, bool) { return h.registry.AddressOf(host) }
 
 // Opinion implements promoter.Peers.
-func (h *Host) Opinion(ctx context.Context, service, primary, host string) (succession.Opinion, bool) {
+func (h *Host) RequestPeerReport(ctx context.Context, service, primary, host string) (succession.Opinion, bool) {
 	address, known := h.registry.AddressOf(host)
 	if !known {
 		return succession.Opinion{}, false
 	}
-	h.traffic.add(trafficOpinion)
+	h.traffic.add(trafficPeerReport)
 	answer, err := h.peers.Probe(ctx, address, gossip.Message{AskLost: &gossip.LostQuestion{Service: service, Upstream: primary}})
 	if err != nil || answer.Opinion == nil {
 		// A host that does not answer has no vote; the promoter asks again.
--- a/node/entry/reads.go
+++ b/node/entry/reads.go
@@ -26,7 +26,7 @@
 
 // observe counts the statement if it is a successful read.
 func (c *readCounts) observe(r edge.Record) {
-	if r.Outcome.Source == replicaset.NoRead || r.Outcome.Answer.Code != statement.OK {
+	if r.Outcome.Source == replicaset.NotARead || r.Outcome.Answer.Code != statement.OK {
 		return
 	}
 	kind := r.Route.Consistency
@@ -55,7 +55,7 @@
 	clock.Every(ctx, readsLogInterval, func() {
 		for consistency, sources := range h.reads.take() {
 			line := eventlog.ReadsCounted.Info(h.log).Stringer("consistency", consistency)
-			for _, s := range replicaset.ReadSources() {
+			for _, s := range replicaset.AllReadSources() {
 				if n := sources[s]; n > 0 {
 					line = line.Int(s.String(), n)
 				}
--- a/node/entry/show.go
+++ b/node/entry/show.go
@@ -16,8 +16,8 @@
 	now := clock.Now()
 	teams, more := h.showTeams(now)
 	return &inspectpb.ShowResponse{
-		Host: h.settings.Host, Zone: h.settings.Places.Zone, Ready: h.Ready(),
-		Sessions: uint32(h.gateway.Sessions()), MaxSessions: uint32(h.settings.MaxSessions), Jobs: uint32(h.remoteJobs.Load()),
+		Host: h.settings.Host, Zone: h.settings.Topology.Zone, Ready: h.Ready(),
+		Sessions: uint32(h.gateway.Sessions()), MaxSessions: uint32(h.settings.MaxSessions), Jobs: uint32(h.remoteJobCount.Load()),
 		Configuration: h.showConfiguration(), Store: h.showStore(), Services: h.showServices(now),
 		Teams: teams, MoreTeams: uint32(more),
 	}
@@ -50,7 +50,7 @@
 }
 
 func (h *Host) showService(s *replicaset.Set, now time.Duration) *inspectpb.Service {
-	primary, _ := s.BelievedPrimary()
+	primary, _ := s.AssumedPrimary()
 	lock := h.registry.LockOf(s.Service())
 	out := &inspectpb.Service{
 		Name: s.Service(), Primary: primary, Term: uint64(s.Term()),
--- a/node/entry/stop.go
+++ b/node/entry/stop.go
@@ -67,7 +67,7 @@
 const remoteWorkPollInterval = 20 * time.Millisecond
 
 func (h *Host) hasRemoteWork() bool {
-	if h.remoteJobs.Load() > 0 {
+	if h.remoteJobCount.Load() > 0 {
 		return true
 	}
 	for _, s := range h.allSets() {
--- a/node/entry/traffic.go
+++ b/node/entry/traffic.go
@@ -18,7 +18,7 @@
 // which are counted by name and result.
 const (
 	trafficFloor        = "datagram floor"
-	trafficOpinion      = "datagram opinion"
+	trafficPeerReport   = "datagram opinion"
 	trafficAnnouncement = "datagram announcement"
 	trafficLiveness     = "datagram alive"
 	trafficQuota        = "datagram quota"
--- a/node/gateway/settings.go
+++ b/node/gateway/settings.go
@@ -146,23 +146,23 @@
 }
 
 // show answers SHOW of a proxy setting. It returns false for other settings.
-func (s *session) show(words []string, sql string) bool {
-	const wordCount = 3
-	if len(words) != wordCount || !strings.EqualFold(words[1]+".", settingPrefix) {
+func (s *session) show(tokens []string, sql string) bool {
+	const tokenCount = 3
+	if len(tokens) != tokenCount || !strings.EqualFold(tokens[1]+".", settingPrefix) {
 		return false
 	}
 	values := map[string]string{
 		"TOKEN": s.token.Encode(), "CLASS": s.class, "IDEMPOTENCY_KEY": s.idempotencyKey,
 		"TEAM": s.team, "SERVICE": s.service, "HOST": s.gateway.router.Sender(),
 	}
-	value, known := values[words[2]]
+	value, known := values[tokens[2]]
 	if !known {
 		s.sendError(outcome.Refuse(outcome.Unsupported, "there is no setting %s", strings.TrimSpace(sql)))
 		return true
 	}
 	s.sendReady(encode(nil,
 		&pgproto3.RowDescription{Fields: []pgproto3.FieldDescription{{
-			Name: []byte(strings.ToLower(words[2])), DataTypeOID: 25, DataTypeSize: -1, TypeModifier: -1,
+			Name: []byte(strings.ToLower(tokens[2])), DataTypeOID: 25, DataTypeSize: -1, TypeModifier: -1,
 		}}},
 		&pgproto3.DataRow{Values: [][]byte{[]byte(value)}},
 		&pgproto3.CommandComplete{CommandTag: []byte("SHOW")},
--- a/node/host/config_sync.go
+++ b/node/host/config_sync.go
@@ -204,11 +204,11 @@
 	if h.ctx.Err() != nil {
 		return
 	}
-	down := err != nil
-	if h.platformDown.Swap(down) == down {
+	unreachable := err != nil
+	if h.platformDown.Swap(unreachable) == unreachable {
 		return
 	}
-	if down {
+	if unreachable {
 		eventlog.PlatformUnreachable.Warn(h.log).Err(err).Send()
 	} else {
 		eventlog.PlatformReachable.Info(h.log).Send()
--- a/node/owner/assignment_test.go
+++ b/node/owner/assignment_test.go
@@ -29,7 +29,8 @@
 	return cfg, membership.NewPlacement(list), list
 }
 
-// Includes members of a zone without hosts.
+// Guards against members that no host or several hosts own, in particular those
+// of a zone without hosts.
 func TestEveryUpstreamHasOneOwner(t *testing.T) {
 	cfg, _, hosts := largeFleet(200, 24, 6)
 	var remaining []membership.Host
--- a/node/owner/continue.go
+++ b/node/owner/continue.go
@@ -12,7 +12,7 @@
 
 // continueTransaction runs the next statement of an open transaction.
 func (o *Owner) continueTransaction(ctx context.Context, p *pool, req *request.Request) *request.Response {
-	tx, found := o.txns.claim(req.TransactionID, req.Sender, p)
+	tx, found := o.txns.reserve(req.TransactionID, req.Sender, p)
 	if !found {
 		return request.Refused(outcome.Refuse(outcome.TransactionLost, "upstream %s", req.Upstream))
 	}
@@ -26,7 +26,7 @@
 	took := time.Since(started)
 	p.releaseSlot(took)
 	if err != nil {
-		p.watcher.Suspect()
+		p.monitor.Suspect()
 		o.abort(tx)
 		return request.Refused(lostConnRefusal(err, req.MayCommit))
 	}
@@ -58,13 +58,13 @@
 // that of any write.
 func (o *Owner) confirmCommit(ctx context.Context, p *pool, req *request.Request, resp *request.Response, answer upstream.Answer) *request.Response {
 	if answer.ErrorCode == sqlStateReadOnly {
-		p.watcher.Suspect()
+		p.monitor.Suspect()
 		return request.Refused(outcome.Refuse(outcome.TransactionLost, "upstream %s was superseded", p.spec.Name))
 	}
 	if !req.MayCommit {
 		return resp
 	}
-	requirement := group.ReadRequirement{ArrivedAt: p.watcher.Now()}
+	requirement := group.ReadRequirement{ArrivedAt: p.monitor.Now()}
 	return o.confirmResponse(ctx, p, req, requirement, resp, answer)
 }
 
--- a/node/owner/drain.go
+++ b/node/owner/drain.go
@@ -8,9 +8,9 @@
 	"github.com/dotterelswitch/dotterelswitch/core/group"
 )
 
-// handoverDrainTimeout bounds how long requests on a draining primary may take to
-// finish before it is replaced.
-const handoverDrainTimeout = 2 * time.Second
+// switchoverDrainTimeout bounds the wait for the requests on a draining primary
+// before it is replaced.
+const switchoverDrainTimeout = 2 * time.Second
 
 // draining reports whether the configuration drains an upstream.
 func (o *Owner) draining(member string) bool {
@@ -19,26 +19,26 @@
 	return o.config.Draining(conf.DrainUpstream, member)
 }
 
-// handOverPrimaries starts the replacement of draining primaries; it needs mu
-// held. Only the owner of the primary's pool acts, because it knows when no
-// request runs on it any more.
-func (o *Owner) handOverPrimaries() {
+// switchOverPrimaries starts the replacement of draining primaries; it needs mu
+// held. Only the owner of the primary's pool acts, because only it knows when no
+// request runs on the primary any more.
+func (o *Owner) switchOverPrimaries() {
 	for _, c := range o.claims {
 		if !c.serving() || !o.config.Draining(conf.DrainUpstream, c.spec.Name) || !c.isPrimary() {
 			continue
 		}
-		if c.handingOver.Swap(true) {
+		if c.switchingOver.Swap(true) {
 			continue
 		}
-		avoid := o.drainingMembers(c.group.spec)
+		excluded := o.drainingMembers(c.group.spec)
 		o.wg.Go(func() {
-			defer c.handingOver.Store(false)
-			c.handOverPrimary(avoid)
+			defer c.switchingOver.Store(false)
+			c.switchOverPrimary(excluded)
 		})
 	}
 }
 
-// drainingMembers needs mu held.
+// drainingMembers returns the draining members of a service; it needs mu held.
 func (o *Owner) drainingMembers(s conf.Service) []string {
 	var names []string
 	for _, u := range s.Upstreams {
@@ -52,18 +52,18 @@
 // isPrimary reports whether the member is the group's primary.
 func (c *poolClaim) isPrimary() bool {
 	primary := false
-	c.group.watcher.Inspect(func(v *group.View, _ time.Duration) {
+	c.group.monitor.Inspect(func(v *group.View, _ time.Duration) {
 		st, found := v.CurrentPrimary()
 		primary = found && st.Member == c.spec.Name
 	})
 	return primary
 }
 
-// handOverPrimary waits for the primary's requests to finish, while new ones are
-// refused, and has the primary replaced.
-func (c *poolClaim) handOverPrimary(avoid []string) {
-	ctx, cancel := context.WithTimeout(c.ctx, handoverDrainTimeout)
+// switchOverPrimary waits for the primary's requests to finish, while new ones are
+// refused, and then replaces the primary.
+func (c *poolClaim) switchOverPrimary(avoid []string) {
+	ctx, cancel := context.WithTimeout(c.ctx, switchoverDrainTimeout)
 	defer cancel()
 	c.pool.awaitIdle(ctx)
-	c.group.watcher.Handover(c.ctx, avoid)
+	c.group.monitor.Switchover(c.ctx, avoid)
 }
--- a/node/owner/execute.go
+++ b/node/owner/execute.go
@@ -8,9 +8,9 @@
 	"github.com/dotterelswitch/dotterelswitch/core/group"
 	"github.com/dotterelswitch/dotterelswitch/core/logpos"
 	"github.com/dotterelswitch/dotterelswitch/core/outcome"
+	"github.com/dotterelswitch/dotterelswitch/node/groupmonitor"
 	"github.com/dotterelswitch/dotterelswitch/node/request"
 	"github.com/dotterelswitch/dotterelswitch/node/upstream"
-	"github.com/dotterelswitch/dotterelswitch/node/watch"
 )
 
 // sqlStateReadOnly is a member's answer to a write while it is not primary.
@@ -42,7 +42,7 @@
 	if !p.beginRequest() {
 		return request.Refused(outcome.Refuse(outcome.Draining, "the pool of %s is being handed over", req.Upstream))
 	}
-	requirement := group.ReadRequirement{Token: req.MinPosition, Staleness: req.MaxStaleness, ArrivedAt: p.watcher.Now()}
+	requirement := group.ReadRequirement{Token: req.MinPosition, Staleness: req.MaxStaleness, ArrivedAt: p.monitor.Now()}
 	if refusal := o.eligible(ctx, p, req, requirement); refusal != nil {
 		p.endRequest()
 		return request.Refused(refusal)
@@ -72,9 +72,9 @@
 	}
 	waitCtx, cancel := context.WithTimeout(ctx, req.CatchUpWait)
 	defer cancel()
-	p.watcher.Inspect(func(v *group.View, now time.Duration) { evaluate(v, now) })
+	p.monitor.Inspect(func(v *group.View, now time.Duration) { evaluate(v, now) })
 	if verdict != group.Eligible && !primary {
-		_ = p.watcher.Await(waitCtx, watch.ForFreshness, evaluate)
+		_ = p.monitor.WaitUntil(waitCtx, groupmonitor.ForFreshness, evaluate)
 	}
 	if primary && verdict != group.Ahead {
 		return nil
@@ -100,7 +100,7 @@
 // requirePrimary refuses a write on a member that is not the primary.
 func (o *Owner) requirePrimary(p *pool) *outcome.Refusal {
 	isPrimary := false
-	p.watcher.Inspect(func(v *group.View, _ time.Duration) {
+	p.monitor.Inspect(func(v *group.View, _ time.Duration) {
 		st, found := v.CurrentPrimary()
 		isPrimary = found && st.Member == p.spec.Name && !v.Failing(st.Member)
 	})
@@ -110,7 +110,8 @@
 	return nil
 }
 
-// runNew acquires a slot and a connection for a request outside a transaction.
+// runNew runs a request outside an open transaction: it acquires a slot and a
+// connection, sends the request and confirms the answer.
 func (o *Owner) runNew(ctx context.Context, p *pool, req *request.Request, requirement group.ReadRequirement) *request.Response {
 	arrived := time.Now()
 	if refusal := p.acquireSlot(ctx, req.Team, o.weight(req.Team), req.Deadline); refusal != nil {
@@ -150,7 +151,7 @@
 	}
 	answer, err := conn.Run(ctx, req.Frames)
 	if err != nil {
-		p.watcher.Suspect()
+		p.monitor.Suspect()
 		return upstream.Answer{}, request.Refused(runRefusal(err, req.MayCommit))
 	}
 	return answer, nil
@@ -181,7 +182,7 @@
 		return resp
 	}
 	if answer.ErrorCode == sqlStateReadOnly {
-		p.watcher.Suspect()
+		p.monitor.Suspect()
 		return request.Refused(outcome.Refuse(outcome.WrongMember, "upstream %s accepts no writes", p.spec.Name))
 	}
 	if answer.Position.IsZero() {
@@ -204,7 +205,7 @@
 // the request arrived, which means that it names an entry that never existed.
 func (o *Owner) tokenAhead(p *pool, token, current logpos.Position) bool {
 	ahead := false
-	p.watcher.Inspect(func(v *group.View, _ time.Duration) {
+	p.monitor.Inspect(func(v *group.View, _ time.Duration) {
 		st, found := v.Primary()
 		if !found {
 			return
@@ -219,7 +220,7 @@
 // primary discarded.
 func (o *Owner) forkCrossed(p *pool, token logpos.Position) bool {
 	crossed := false
-	p.watcher.Inspect(func(v *group.View, _ time.Duration) {
+	p.monitor.Inspect(func(v *group.View, _ time.Duration) {
 		if st, found := v.Primary(); found {
 			_, crossed = st.History.Clamp(token)
 		}
@@ -237,12 +238,12 @@
 	p.unconfirmed.Add(1)
 	defer p.unconfirmed.Add(-1)
 	state := group.Pending
-	err := p.watcher.Await(ctx, watch.ForCommit, func(v *group.View, _ time.Duration) bool {
+	err := p.monitor.WaitUntil(ctx, groupmonitor.ForCommit, func(v *group.View, _ time.Duration) bool {
 		state = v.EntryState(answer.Position)
 		return state != group.Pending
 	})
 	if err != nil || state != group.Committed {
-		p.watcher.Suspect()
+		p.monitor.Suspect()
 		return request.Refused(outcome.Refuse(outcome.UnknownOutcome, "no majority of the group confirmed the write at %s", answer.Position))
 	}
 	return resp
@@ -261,7 +262,7 @@
 		verdict = v.CanServe(resp.Position, requirement)
 		return true
 	}
-	if err := p.watcher.Await(ctx, watch.ForFreshness, evaluate); err != nil {
+	if err := p.monitor.WaitUntil(ctx, groupmonitor.ForFreshness, evaluate); err != nil {
 		return request.Refused(outcome.Refuse(outcome.TooStale, "upstream %s could not show that it is current", p.spec.Name))
 	}
 	if onPrimary && state != group.Committed {
--- a/node/owner/keyed.go
+++ b/node/owner/keyed.go
@@ -36,8 +36,8 @@
 	return answer, nil
 }
 
-// keyedRun is the execution of one keyed request on a connection. After an error
-// the connection is dirty or in a transaction, and the pool closes it.
+// keyedRun is the execution of one keyed request on a connection. If it fails half
+// way, the connection is left dirty or in a transaction, and the pool closes it.
 type keyedRun struct {
 	ctx         context.Context
 	conn        *upstream.Conn
--- a/node/owner/watched_group.go
+++ b/node/owner/monitored_group.go
@@ -6,14 +6,14 @@
 
 	"github.com/dotterelswitch/dotterelswitch/core/conf"
 	"github.com/dotterelswitch/dotterelswitch/core/membership"
+	"github.com/dotterelswitch/dotterelswitch/node/groupmonitor"
 	"github.com/dotterelswitch/dotterelswitch/node/upstream"
-	"github.com/dotterelswitch/dotterelswitch/node/watch"
 )
 
-// watchedGroup is a group in which this host owns at least one member.
-type watchedGroup struct {
+// monitoredGroup is a group in which this host owns at least one member.
+type monitoredGroup struct {
 	spec     conf.Service
-	watcher  *watch.Watcher
+	monitor  *groupmonitor.Monitor
 	controls map[string]*upstream.Control
 	cancel   context.CancelFunc
 }
@@ -35,31 +35,31 @@
 	}
 }
 
-func newWatchedGroup(ctx context.Context, cfg Config, s conf.Service, rank int) *watchedGroup {
+func newMonitoredGroup(ctx context.Context, cfg Config, s conf.Service, rank int) *monitoredGroup {
 	ctx, cancel := context.WithCancel(ctx)
-	g := &watchedGroup{spec: s, controls: make(map[string]*upstream.Control), cancel: cancel}
+	g := &monitoredGroup{spec: s, controls: make(map[string]*upstream.Control), cancel: cancel}
 	for _, u := range s.Upstreams {
 		control := target(cfg, s.Name, u)
 		control.Dial = cfg.ControlDial
 		g.controls[u.Name] = upstream.NewControl(control)
 	}
-	g.watcher = watch.New(watch.Config{
+	g.monitor = groupmonitor.New(groupmonitor.Config{
 		Service: s.Name, Members: s.UpstreamNames(), Controls: g.controls,
-		Claimant: applicationName(cfg.Host), Rank: rank, Timing: cfg.Timing,
+		Candidate: applicationName(cfg.Host), Rank: rank, Timing: cfg.Timing,
 		Seed: membership.Score(s.Name, cfg.Host.ID), OnPromoted: cfg.RecordPromotion, Log: cfg.Log,
 	})
-	go g.watcher.Run(ctx)
+	go g.monitor.Run(ctx)
 	return g
 }
 
 // sameMembers reports whether the group has the same members and addresses as s.
-func (g *watchedGroup) sameMembers(s conf.Service) bool {
+func (g *monitoredGroup) sameMembers(s conf.Service) bool {
 	return slices.EqualFunc(g.spec.Upstreams, s.Upstreams, func(a, b conf.Upstream) bool {
 		return a.Name == b.Name && a.Address == b.Address
 	})
 }
 
-func (g *watchedGroup) close() {
+func (g *monitoredGroup) close() {
 	g.cancel()
 	for _, c := range g.controls {
 		c.Close()
--- a/node/owner/owner.go
+++ b/node/owner/owner.go
@@ -29,7 +29,7 @@
 	// AnswerLimit is the maximum size of an answer in bytes.
 	AnswerLimit int
 	Timing      group.Timing
-	// HeartbeatBudget derives the heartbeat interval from the number of watched
+	// HeartbeatBudget derives the heartbeat interval from the number of monitored
 	// members.
 	HeartbeatBudget group.HeartbeatBudget
 	// RecordPromotion is called after each promotion.
@@ -41,7 +41,7 @@
 
 // Owner holds the pools of the members that rendezvous hashing assigns to this
 // host. Lock order: Owner.mu, poolClaim.mu, pool.mu. None of them is acquired
-// while watch.Watcher's lock is held.
+// while groupmonitor.Monitor's lock is held.
 type Owner struct {
 	cfg     Config
 	txns    transactions
@@ -54,7 +54,7 @@
 	mu       sync.Mutex
 	config   *conf.Config
 	dead     []membership.Host
-	groups   map[string]*watchedGroup
+	groups   map[string]*monitoredGroup
 	claims   map[string]*poolClaim
 	stopping bool
 }
@@ -66,7 +66,7 @@
 		cfg: cfg, ctx: ctx, stop: cancel,
 		txns:   transactions{open: make(map[uint64]*transaction)},
 		recent: newRecentRequests(), config: &conf.Config{},
-		groups: make(map[string]*watchedGroup), claims: make(map[string]*poolClaim),
+		groups: make(map[string]*monitoredGroup), claims: make(map[string]*poolClaim),
 	}
 }
 
@@ -87,7 +87,7 @@
 	}
 	o.releaseUnwanted(wanted)
 	o.updateHeartbeats()
-	o.handOverPrimaries()
+	o.switchOverPrimaries()
 	for _, h := range dead {
 		o.abortSender(SenderName(h))
 	}
@@ -103,32 +103,33 @@
 	timing := o.cfg.Timing
 	timing.Heartbeat = o.cfg.HeartbeatBudget.Interval(members)
 	for _, g := range o.groups {
-		g.watcher.SetTiming(timing)
+		g.monitor.SetTiming(timing)
 	}
 }
 
 // SenderName identifies one incarnation of a host in requests.
 func SenderName(h membership.Host) string { return fmt.Sprintf("%s/%d", h.ID, h.Incarnation) }
 
-// ensureGroup returns the watched group of a service, starting it if necessary;
+// ensureGroup returns the monitored group of a service, starting it if necessary;
 // it needs mu held.
-func (o *Owner) ensureGroup(s conf.Service, owners []string) *watchedGroup {
+func (o *Owner) ensureGroup(s conf.Service, owners []string) *monitoredGroup {
 	rank := slices.Index(owners, o.cfg.Host.ID)
 	g, found := o.groups[s.Name]
 	if found && g.sameMembers(s) {
-		g.watcher.SetRank(rank)
+		g.monitor.SetRank(rank)
 		return g
 	}
 	if found {
 		g.close()
 	}
-	g = newWatchedGroup(o.ctx, o.cfg, s, rank)
+	g = newMonitoredGroup(o.ctx, o.cfg, s, rank)
 	o.groups[s.Name] = g
 	return g
 }
 
-// ensureClaim needs mu held.
-func (o *Owner) ensureClaim(g *watchedGroup, u conf.Upstream) {
+// ensureClaim claims the pool of an upstream unless this host has done so already.
+// A new claim starts once the previous one has been released. It needs mu held.
+func (o *Owner) ensureClaim(g *monitoredGroup, u conf.Upstream) {
 	c, found := o.claims[u.Name]
 	if found && c.spec == u && c.group == g && !c.releasing() {
 		return
@@ -148,9 +149,10 @@
 	})
 }
 
-// releaseUnwanted needs mu held.
+// releaseUnwanted releases the claims on pools that this host should no longer own
+// and removes what they no longer use. It needs mu held.
 func (o *Owner) releaseUnwanted(wanted map[string]bool) {
-	inUse := make(map[*watchedGroup]bool)
+	inUse := make(map[*monitoredGroup]bool)
 	for name, c := range o.claims {
 		if !wanted[name] {
 			c.release()
@@ -215,7 +217,7 @@
 	if !found {
 		return hint
 	}
-	g.watcher.Inspect(func(v *group.View, now time.Duration) {
+	g.monitor.Inspect(func(v *group.View, now time.Duration) {
 		if st, found := v.CurrentPrimary(); found {
 			hint.Primary, hint.Term = st.Member, st.GrantedTerm
 		}
@@ -234,7 +236,7 @@
 	defer o.mu.Unlock()
 	n := 0
 	for _, g := range o.groups {
-		n += g.watcher.Promotions()
+		n += g.monitor.Promotions()
 	}
 	return n
 }
--- a/node/owner/pool.go
+++ b/node/owner/pool.go
@@ -1,6 +1,7 @@
 // Package owner runs requests on the upstreams whose pools this host owns: it
 // admits them to slots, assigns them connections, and delays their answers until
-// they are safe to return.
+// they are safe to return. It serves hosts with PostgreSQL callers (package host);
+// hosts of the users' platform (package entry) use replicaset instead.
 package owner
 
 import (
@@ -15,13 +16,13 @@
 	"github.com/dotterelswitch/dotterelswitch/core/conf"
 	"github.com/dotterelswitch/dotterelswitch/core/outcome"
 	"github.com/dotterelswitch/dotterelswitch/node/eventlog"
+	"github.com/dotterelswitch/dotterelswitch/node/groupmonitor"
 	"github.com/dotterelswitch/dotterelswitch/node/upstream"
-	"github.com/dotterelswitch/dotterelswitch/node/watch"
 )
 
 const (
 	// reservedControlConns is how many of a member's connections are reserved for
-	// the control connections of the hosts that watch its group.
+	// the control connections of the hosts that monitor its group.
 	reservedControlConns = 4
 	// maxQueuedPerSlot bounds the requests that wait for one member.
 	maxQueuedPerSlot = 64
@@ -33,7 +34,8 @@
 	// initialSlotTime is the estimated slot time of a request before any has
 	// completed.
 	initialSlotTime = 2 * time.Millisecond
-	// slotTimeSmoothing is the divisor of the moving average of slot times.
+	// slotTimeSmoothing is the inverse weight of a new sample in the moving
+	// average of slot times.
 	slotTimeSmoothing = 8
 )
 
@@ -41,32 +43,38 @@
 type pool struct {
 	spec        conf.Upstream
 	target      upstream.Target
-	watcher     *watch.Watcher
+	monitor     *groupmonitor.Monitor
 	answerLimit int
 	log         zerolog.Logger
-	origin      time.Time
+	startedAt   time.Time
 
 	// mu guards the fields below. It is not held during calls to other
 	// components.
-	mu       sync.Mutex
-	queue    *admit.Queue
-	tickets  map[uint64]chan bool
-	nextID   uint64
-	idle     []*upstream.Conn
-	open     int
+	mu    sync.Mutex
+	queue *admit.Queue
+	// tickets holds a channel for each queued request, which receives true when
+	// the request gets a slot and false when it is refused.
+	tickets map[uint64]chan bool
+	nextID  uint64
+	idle    []*upstream.Conn
+	// open counts the connections, including those being opened.
+	open int
+	// freed is closed and replaced when a connection becomes available.
 	freed    chan struct{}
 	draining bool
 	slotTime time.Duration
 	// unconfirmed counts the writes that have run and are not yet confirmed by a
 	// majority.
 	unconfirmed atomic.Int64
-	active      int
-	drained     chan struct{}
+	// active counts the running requests and open transactions.
+	active int
+	// drained is closed when the pool is draining and no request is active.
+	drained chan struct{}
 }
 
-func newPool(spec conf.Upstream, target upstream.Target, w *watch.Watcher, answerLimit int, log zerolog.Logger) *pool {
+func newPool(spec conf.Upstream, target upstream.Target, w *groupmonitor.Monitor, answerLimit int, log zerolog.Logger) *pool {
 	return &pool{
-		spec: spec, target: target, watcher: w, answerLimit: answerLimit, log: log, origin: time.Now(),
+		spec: spec, target: target, monitor: w, answerLimit: answerLimit, log: log, startedAt: time.Now(),
 		queue: admit.NewQueue(admit.Config{
 			Slots: spec.Slots, MaxQueued: spec.Slots * maxQueuedPerSlot, MaxTeamShare: maxTeamQueueShare,
 		}),
@@ -77,7 +85,7 @@
 	}
 }
 
-func (p *pool) now() time.Duration { return time.Since(p.origin) }
+func (p *pool) now() time.Duration { return time.Since(p.startedAt) }
 
 // capacity is the maximum number of open pooled connections.
 func (p *pool) capacity() int { return max(p.spec.Connections-reservedControlConns, p.spec.Slots) }
@@ -87,12 +95,12 @@
 	p.mu.Lock()
 	p.nextID++
 	id := p.nextID
-	verdict := p.queue.Offer(admit.Request{
+	decision := p.queue.Offer(admit.Request{
 		ID: id, Team: team, Weight: weight, Cost: p.slotTime, Deadline: p.now() + time.Until(deadline),
 	}, p.now())
-	if verdict != admit.Queued {
+	if decision != admit.Queued {
 		p.mu.Unlock()
-		return p.decisionRefusal(verdict)
+		return p.decisionRefusal(decision)
 	}
 	ticket := make(chan bool, 1)
 	p.tickets[id] = ticket
@@ -100,8 +108,8 @@
 	return p.awaitSlot(ctx, id, ticket)
 }
 
-func (p *pool) decisionRefusal(v admit.Decision) *outcome.Refusal {
-	switch v {
+func (p *pool) decisionRefusal(decision admit.Decision) *outcome.Refusal {
+	switch decision {
 	case admit.QueueFull:
 		return outcome.Refuse(outcome.QueueFull, "upstream %s", p.spec.Name).WithRetryAfter(p.backlog())
 	case admit.DeadlineUnreachable:
@@ -120,8 +128,8 @@
 
 func (p *pool) awaitSlot(ctx context.Context, id uint64, ticket chan bool) *outcome.Refusal {
 	select {
-	case run := <-ticket:
-		if run {
+	case admitted := <-ticket:
+		if admitted {
 			return nil
 		}
 	case <-ctx.Done():
@@ -136,7 +144,7 @@
 	return p.decisionRefusal(admit.DeadlineUnreachable)
 }
 
-// releaseSlot frees a slot that was held for the given time and starts queued
+// releaseSlot frees a slot that was in use for the given time and starts queued
 // requests. A time of zero is not counted in the estimate.
 func (p *pool) releaseSlot(took time.Duration) {
 	p.mu.Lock()
@@ -144,19 +152,19 @@
 	if took > 0 {
 		p.slotTime += (took - p.slotTime) / slotTimeSmoothing
 	}
-	started, late := p.queue.Done(took, p.now())
+	started, expired := p.queue.Done(took, p.now())
 	for _, r := range started {
 		p.resolveTicket(r.ID, true)
 	}
-	for _, r := range late {
+	for _, r := range expired {
 		p.resolveTicket(r.ID, false)
 	}
 }
 
-// resolveTicket needs mu held.
-func (p *pool) resolveTicket(id uint64, run bool) {
+// resolveTicket tells a queued request whether it was admitted; it needs mu held.
+func (p *pool) resolveTicket(id uint64, admitted bool) {
 	if ticket, found := p.tickets[id]; found {
-		ticket <- run
+		ticket <- admitted
 		delete(p.tickets, id)
 	}
 }
@@ -192,7 +200,7 @@
 		return c, nil
 	}
 	p.connClosed()
-	p.watcher.Suspect()
+	p.monitor.Suspect()
 	eventlog.ConnectionFailed.Warn(p.log).Err(err).Str("upstream", p.spec.Name).Send()
 	return nil, outcome.Refuse(outcome.WrongMember, "upstream %s cannot be reached", p.spec.Name)
 }
--- a/node/owner/pool_claim.go
+++ b/node/owner/pool_claim.go
@@ -19,17 +19,17 @@
 	lockInterval = 100 * time.Millisecond
 	// lockTimeout bounds one attempt.
 	lockTimeout = time.Second
-	// claimWait bounds how long a request waits for the pool to be claimed.
+	// claimWait bounds how long a request waits for the lock.
 	claimWait = 300 * time.Millisecond
 )
 
-// poolClaim is this host's claim on the pool of one member. The pool is served
-// only while the host's control connection holds an advisory lock on the member,
-// so that two hosts with different views of the membership cannot both use up the
-// member's connections.
+// poolClaim is this host's claim on the pool of one member. The pool serves
+// requests only while the host's control connection holds an advisory lock on the
+// member: two hosts with different views of the membership would otherwise open
+// more connections than the member allows.
 type poolClaim struct {
 	owner   *Owner
-	group   *watchedGroup
+	group   *monitoredGroup
 	spec    conf.Upstream
 	pool    *pool
 	lockKey int64
@@ -39,25 +39,25 @@
 	// trimmedAt is when the ledger was last trimmed; only run accesses it.
 	trimmedAt time.Time
 
-	// handingOver is set while a draining primary is being replaced.
-	handingOver atomic.Bool
+	// switchingOver is set while a draining primary is being replaced.
+	switchingOver atomic.Bool
 
 	mu          sync.Mutex
 	locked      bool
 	lockChanged chan struct{}
 }
 
-func newPoolClaim(o *Owner, g *watchedGroup, u conf.Upstream) *poolClaim {
+func newPoolClaim(o *Owner, g *monitoredGroup, u conf.Upstream) *poolClaim {
 	ctx, cancel := context.WithCancel(o.ctx)
 	return &poolClaim{
 		owner: o, group: g, spec: u,
-		pool:    newPool(u, target(o.cfg, g.spec.Name, u), g.watcher, o.cfg.AnswerLimit, o.cfg.Log),
+		pool:    newPool(u, target(o.cfg, g.spec.Name, u), g.monitor, o.cfg.AnswerLimit, o.cfg.Log),
 		lockKey: int64(membership.Score("pool", u.Name) >> 1),
 		ctx:     ctx, release: cancel, done: make(chan struct{}), lockChanged: make(chan struct{}),
 	}
 }
 
-// run takes the lock and keeps it until the claim is released, then drains the
+// run takes the lock and holds it until the claim is released, then drains the
 // pool.
 func (c *poolClaim) run() {
 	defer close(c.done)
@@ -79,9 +79,11 @@
 		case <-c.ctx.Done():
 		}
 	}
-	c.handOver()
+	c.drainAndRelease()
 }
 
+// stillLocked reports whether the control connection that took the lock is still
+// open.
 func (c *poolClaim) stillLocked(generation uint64) bool {
 	now, connected := c.group.controls[c.spec.Name].Generation()
 	return connected && now == generation
@@ -107,8 +109,8 @@
 	return false, 0
 }
 
-// handOver drains the pool and frees the lock for the next owner.
-func (c *poolClaim) handOver() {
+// drainAndRelease drains the pool and releases the lock to the next owner.
+func (c *poolClaim) drainAndRelease() {
 	ctx, cancel := context.WithTimeout(context.Background(), c.owner.cfg.DrainTimeout)
 	defer cancel()
 	c.pool.drain(ctx)
@@ -147,7 +149,7 @@
 // unreachable reports whether probes of the member fail.
 func (c *poolClaim) unreachable() bool {
 	failing := false
-	c.group.watcher.Inspect(func(v *group.View, _ time.Duration) { failing = v.Failing(c.spec.Name) })
+	c.group.monitor.Inspect(func(v *group.View, _ time.Duration) { failing = v.Failing(c.spec.Name) })
 	return failing
 }
 
--- a/node/owner/recent.go
+++ b/node/owner/recent.go
@@ -2,9 +2,9 @@
 
 import "sync"
 
-// windowBits is the number of request IDs remembered for each sender.
 const (
-	wordBits   = 64
+	wordBits = 64
+	// windowBits is the number of request IDs remembered for each sender.
 	windowBits = 64 * wordBits
 )
 
--- a/node/owner/recent_test.go
+++ b/node/owner/recent_test.go
@@ -11,8 +11,8 @@
 
 func TestMain(m *testing.M) { fixedseed.Main(m) }
 
-// IDs arrive in any order and repeatedly: none is new twice, and each one within
-// the window is new once.
+// Guards against running a request twice or refusing a new one, with IDs that
+// arrive repeatedly and in any order.
 func TestRecentRequestsAcceptEachIDOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		r := newRecentRequests()
--- a/node/owner/transaction.go
+++ b/node/owner/transaction.go
@@ -13,9 +13,10 @@
 	sender string
 	pool   *pool
 	conn   *upstream.Conn
-	// lastUsed is when the last statement ended; busy is set while one runs.
+	// lastUsed is when the last statement ended.
 	lastUsed time.Time
-	busy     bool
+	// busy is set while a statement runs.
+	busy bool
 }
 
 // transactions holds the open transactions of all pools.
@@ -34,9 +35,9 @@
 	return t.next
 }
 
-// claim reserves a transaction for one statement. It fails if the sender has no
+// reserve reserves a transaction for one statement. It fails if the sender has no
 // such transaction in the pool, or if a statement of it is running.
-func (t *transactions) claim(id uint64, sender string, p *pool) (*transaction, bool) {
+func (t *transactions) reserve(id uint64, sender string, p *pool) (*transaction, bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	tx, found := t.open[id]
@@ -47,8 +48,8 @@
 	return tx, true
 }
 
-// endStatement marks the transaction as idle, or removes it unless it is still
-// open.
+// endStatement marks a transaction that is still open as idle, and removes one
+// that has ended.
 func (t *transactions) endStatement(tx *transaction, open bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/node/owner/trim.go
+++ b/node/owner/trim.go
@@ -36,7 +36,7 @@
 	})
 }
 
-// trim takes a slot like any other request.
+// trim deletes the expired rows. It takes a slot like any other request.
 func (c *poolClaim) trim(ctx context.Context, now time.Time) error {
 	if refusal := c.pool.acquireSlot(ctx, trimTeam, 1, now.Add(trimTimeout)); refusal != nil {
 		return refusal
--- a/node/peer/gate_client.go
+++ b/node/peer/gate_client.go
@@ -89,12 +89,12 @@
 	}
 	ctx, cancel := context.WithDeadline(ctx, clock.Deadline(j.Request.Deadline+responseSlack))
 	defer cancel()
-	asked := clock.Now()
+	sentAt := clock.Now()
 	resp, err := g.client.Run(ctx, connect.NewRequest(jobToProto(service, j)))
 	if err != nil {
-		return replicaset.Result{Err: &replicaset.GateError{Address: address, MaybeSent: mayHaveReached(err), Err: err}}
+		return replicaset.Result{Err: &replicaset.GateError{Address: address, JobMayHaveArrived: mayHaveReached(err), Err: err}}
 	}
-	return resultFromProto(resp.Msg, asked)
+	return resultFromProto(resp.Msg, sentAt)
 }
 
 // attach keeps an Attach stream open, whose end tells the gate that this host is
--- a/node/peer/gate_convert.go
+++ b/node/peer/gate_convert.go
@@ -16,9 +16,9 @@
 const (
 	failureNone uint32 = iota
 	failureRefused
-	failureLost
-	failureSilent
-	failureDead
+	failureBroken
+	failureTimeout
+	failureMemberDead
 )
 
 // remainingMicros converts a deadline on this host's clock into the remaining
@@ -27,19 +27,19 @@
 
 func jobToProto(service string, j replicaset.Job) *peerpb.JobRequest {
 	now := clock.Now()
-	w := j.Request
+	req := j.Request
 	return &peerpb.JobRequest{
 		Kind: uint32(j.Kind), Service: service, Upstream: j.Member,
 		Statement: &peerpb.JobStatement{
-			Kind: uint32(w.Statement.Kind), Id: w.Statement.ID, Text: w.Statement.Text, Value: w.Statement.Value,
-			ShapeWrite: w.Statement.Shape.Write, Shape: w.Statement.Shape.Text,
+			Kind: uint32(req.Statement.Kind), Id: req.Statement.ID, Text: req.Statement.Text, Value: req.Statement.Value,
+			ShapeWrite: req.Statement.Shape.Write, Shape: req.Statement.Shape.Text,
 		},
-		Values: w.Values, Committed: positionToProto(w.LastCommit),
-		Consistency: uint32(w.Route.Consistency), MaxStalenessUs: w.Route.MaxStaleness.Microseconds(),
-		Priority: int32(w.Route.Priority), Floor: positionToProto(j.Floor), Plain: j.RequirePrimary, Wrote: j.Wrote,
-		Transaction: j.Tx, Owner: j.Owner, Team: w.Team,
-		AimUs: remainingMicros(w.TargetDeadline, now), StartUs: remainingMicros(w.StartDeadline, now), EndUs: remainingMicros(w.Deadline, now),
-		FreshUs: remainingMicros(w.OnTimeUntil, now), AttemptUs: w.AttemptTimeout.Microseconds(),
+		Values: req.Values, Committed: positionToProto(req.LastCommit),
+		Consistency: uint32(req.Route.Consistency), MaxStalenessUs: req.Route.MaxStaleness.Microseconds(),
+		Priority: int32(req.Route.Priority), Floor: positionToProto(j.Floor), Plain: j.RequirePrimary, Wrote: j.Wrote,
+		Transaction: j.Tx, Owner: j.Owner, Team: req.Team,
+		AimUs: remainingMicros(req.TargetDeadline, now), StartUs: remainingMicros(req.StartDeadline, now), EndUs: remainingMicros(req.Deadline, now),
+		FreshUs: remainingMicros(req.OnTimeUntil, now), AttemptUs: req.AttemptTimeout.Microseconds(),
 	}
 }
 
@@ -71,25 +71,25 @@
 	out := &peerpb.JobResponse{
 		Rows: r.Answer.Rows, Signature: r.Answer.Signature, Code: uint32(r.Answer.Code), Detail: r.Answer.Detail,
 		State: uint32(r.Answer.State), Position: positionToProto(r.Answer.Position),
-		Handed: r.StatementSent, Proof: r.Proof, Transaction: r.Tx, WaitedUs: r.Waited.Microseconds(),
+		Handed: r.StatementMayHaveRun, Proof: r.ConfirmsPrimary, Transaction: r.Tx, WaitedUs: r.Waited.Microseconds(),
 		Floor: floorToProto(r.Floor, clock.Now()),
 	}
 	var refused *replicaset.RefusedError
-	var lost *replicaset.NoResponseError
-	var connect *replicaset.ConnectError
+	var noResponse *replicaset.NoResponseError
+	var connectErr *replicaset.ConnectError
 	switch {
 	case r.Err == nil:
 		return out
 	case errors.As(r.Err, &refused) && refused.MemberDead:
-		out.Failure = failureDead
+		out.Failure = failureMemberDead
 	case errors.As(r.Err, &refused):
 		out.Failure, out.RetryAfterUs = failureRefused, refused.RetryAfter.Microseconds()
-	case errors.As(r.Err, &lost) && lost.TimedOut:
-		out.Failure = failureSilent
-	case errors.As(r.Err, &connect):
+	case errors.As(r.Err, &noResponse) && noResponse.TimedOut:
+		out.Failure = failureTimeout
+	case errors.As(r.Err, &connectErr):
 		out.Failure = failureRefused
 	default:
-		out.Failure = failureLost
+		out.Failure = failureBroken
 	}
 	out.Reason = r.Err.Error()
 	return out
@@ -108,33 +108,33 @@
 
 // floorFromProto decodes a floor from the answer to a request sent at the given
 // time.
-func floorFromProto(p *peerpb.Floor, asked time.Duration) replicaset.Floor {
+func floorFromProto(p *peerpb.Floor, sentAt time.Duration) replicaset.Floor {
 	if p == nil {
 		return replicaset.Floor{}
 	}
 	position := logpos.Position{Term: logpos.Term(p.GetTerm()), Offset: logpos.Offset(p.GetOffset())}
 	lead := replicaset.Leadership{Primary: p.GetPrimary(), Term: logpos.Term(p.GetLeadTerm())}
-	return replicaset.FloorFromAge(position, lead, time.Duration(p.GetAgeUs())*time.Microsecond, asked)
+	return replicaset.FloorFromAge(position, lead, time.Duration(p.GetAgeUs())*time.Microsecond, sentAt)
 }
 
 // resultFromProto decodes the answer to a job sent at the given time.
-func resultFromProto(p *peerpb.JobResponse, asked time.Duration) replicaset.Result {
+func resultFromProto(p *peerpb.JobResponse, sentAt time.Duration) replicaset.Result {
 	r := replicaset.Result{
 		Answer: statement.Answer{
 			Rows: p.GetRows(), Signature: p.GetSignature(), Code: statement.Code(p.GetCode()), Detail: p.GetDetail(),
 			State: statement.TxState(p.GetState()), Position: positionFromProto(p.GetPosition()),
 		},
-		StatementSent: p.GetHanded(), Proof: p.GetProof(), Tx: p.GetTransaction(),
-		Waited: time.Duration(p.GetWaitedUs()) * time.Microsecond, Floor: floorFromProto(p.GetFloor(), asked),
+		StatementMayHaveRun: p.GetHanded(), ConfirmsPrimary: p.GetProof(), Tx: p.GetTransaction(),
+		Waited: time.Duration(p.GetWaitedUs()) * time.Microsecond, Floor: floorFromProto(p.GetFloor(), sentAt),
 	}
 	switch p.GetFailure() {
 	case failureNone:
-	case failureDead:
+	case failureMemberDead:
 		r.Err = &replicaset.RefusedError{Reason: p.GetReason(), MemberDead: true}
 	case failureRefused:
 		r.Err = &replicaset.RefusedError{Reason: p.GetReason(), RetryAfter: time.Duration(p.GetRetryAfterUs()) * time.Microsecond}
 	default:
-		r.Err = &replicaset.NoResponseError{TimedOut: p.GetFailure() == failureSilent, Err: errors.New(p.GetReason())}
+		r.Err = &replicaset.NoResponseError{TimedOut: p.GetFailure() == failureTimeout, Err: errors.New(p.GetReason())}
 	}
 	return r
 }
--- a/node/peer/gate_dial_test.go
+++ b/node/peer/gate_dial_test.go
@@ -31,9 +31,9 @@
 		for _, address := range []string{"10.0.0.1:1", "10.0.0.2:1", "10.0.0.3:1"} {
 			j := replicaset.Job{Kind: replicaset.JobWrite, Request: replicaset.Request{Deadline: clock.Now() + time.Minute}}
 			res := c.Run(ctx, address, "svc", j)
-			var gate *replicaset.GateError
-			require.ErrorAs(t, res.Err, &gate)
-			require.False(t, gate.MaybeSent, "a write that was not sent may be retried elsewhere")
+			var gateErr *replicaset.GateError
+			require.ErrorAs(t, res.Err, &gateErr)
+			require.False(t, gateErr.JobMayHaveArrived, "a write that was not sent may be retried elsewhere")
 		}
 		require.Less(t, time.Since(started), objective*4/5)
 	})
--- a/node/platformdemo/demo.go
+++ b/node/platformdemo/demo.go
@@ -152,8 +152,8 @@
 func hostSettings(i int) (entry.Settings, error) {
 	zone := []string{"zone-a", "zone-b", "zone-c"}[i%3]
 	s := entry.Settings{
-		Host: fmt.Sprintf("host-%d", i+1), Places: replicaset.Topology{Zone: zone},
-		MaxSessions: maxSessions, Workers: workersPerHost, GracePeriod: stopGracePeriod, DrainBound: 2 * stopGracePeriod,
+		Host: fmt.Sprintf("host-%d", i+1), Topology: replicaset.Topology{Zone: zone},
+		MaxSessions: maxSessions, Workers: workersPerHost, GracePeriod: stopGracePeriod, DrainTimeout: 2 * stopGracePeriod,
 		QuotaTolerance: tolerance,
 	}
 	for _, field := range []*string{&s.CallerAddress, &s.ReadinessAddress, &s.PeerAddress} {
--- a/node/promoter/ask.go
+++ b/node/promoter/ask.go
@@ -10,101 +10,103 @@
 )
 
 const (
-	// opinionTimeout bounds the wait for an opinion. It covers a few round trips
+	// peerReportTimeout bounds the wait for a report. It covers a few round trips
 	// between regions and scheduling delay on a busy host.
-	opinionTimeout = 150 * time.Millisecond
-	// opinionInterval is the minimum time between two questions to one host.
-	opinionInterval = 60 * time.Millisecond
+	peerReportTimeout = 150 * time.Millisecond
+	// peerReportInterval is the minimum time between two questions to one host.
+	peerReportInterval = 60 * time.Millisecond
 	// questionTTL is how long a question from another host keeps the primary
 	// under suspicion. It spans several questions of a host that keeps asking.
 	questionTTL = 400 * time.Millisecond
 )
 
-// requestOpinions asks other hosts about a suspected primary. The lock holder
-// asks the voters as soon as it suspects the primary, so that their opinions are
-// available once it considers the primary dead. Other hosts alert the holder by
-// asking it, and ask the voters only when they may soon have to take over. A host
-// that has merely been asked does not ask others unless it holds the lock;
-// otherwise questions would circulate endlessly.
-func (p *Promoter) requestOpinions(ctx context.Context, now time.Duration, suspected, lost bool) {
+// requestPeerReports asks other hosts about a suspected primary.
+//
+// The lock holder asks the voters as soon as it suspects the primary, so that
+// their reports are available once it considers the primary dead. Other hosts
+// alert the holder by asking it, and ask the voters only when they may soon have
+// to take over. A host that does not suspect the primary itself and was only
+// asked about it asks no others unless it holds the lock; otherwise questions
+// would circulate endlessly.
+func (p *Promoter) requestPeerReports(ctx context.Context, now time.Duration, suspected, lost bool) {
 	incarnation := p.currentPrimary()
 	lock := p.registry.LockOf(p.service)
 	if lock.Holder == p.host {
-		p.requestOpinionsFrom(ctx, now, incarnation, p.voters())
+		p.requestPeerReportsFrom(ctx, now, incarnation, p.voters())
 		return
 	}
 	if lock.Holder != "" && suspected {
-		p.requestOpinionsFrom(ctx, now, incarnation, []string{lock.Holder})
+		p.requestPeerReportsFrom(ctx, now, incarnation, []string{lock.Holder})
 	}
 	if lost && (lock.Holder == "" || now >= p.takeoverPreparationStart()) {
-		p.requestOpinionsFrom(ctx, now, incarnation, p.voters())
+		p.requestPeerReportsFrom(ctx, now, incarnation, p.voters())
 	}
 }
 
 // takeoverPreparationStart returns when hosts other than the lock holder start to
-// collect the voters' opinions, early enough to have them at takeover time.
+// collect the voters' reports, early enough to have them at takeover time.
 func (p *Promoter) takeoverPreparationStart() time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return max(p.lostSince, p.leaderSeenAt) + succession.TakeoverDelay - opinionTimeout
+	return max(p.lostSince, p.leaderSeenAt) + succession.TakeoverDelay - peerReportTimeout
 }
 
-// currentPrimary names the incarnation of the primary that this host knows, or
+// currentPrimary returns the incarnation of the primary that this host knows, or
 // noPrimary.
 func (p *Promoter) currentPrimary() string {
-	id, found := p.set.BelievedPrimary()
+	id, found := p.set.AssumedPrimary()
 	if !found {
 		return noPrimary
 	}
 	return p.incarnationOf(id)
 }
 
-// requestOpinionsFrom asks the given hosts, except those asked within
-// opinionInterval. It does not wait for answers.
-func (p *Promoter) requestOpinionsFrom(ctx context.Context, now time.Duration, incarnation string, hosts []string) {
+// requestPeerReportsFrom asks the given hosts, except those asked within
+// peerReportInterval. It does not wait for answers.
+func (p *Promoter) requestPeerReportsFrom(ctx context.Context, now time.Duration, incarnation string, hosts []string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, host := range hosts {
-		if host == p.host || now-p.askedAt[host] < opinionInterval {
+		if host == p.host || now-p.askedAt[host] < peerReportInterval {
 			continue
 		}
 		p.askedAt[host] = now
-		go p.requestOpinion(ctx, incarnation, host)
+		go p.requestPeerReport(ctx, incarnation, host)
 	}
 }
 
-func (p *Promoter) requestOpinion(ctx context.Context, incarnation, host string) {
-	ctx, cancel := context.WithTimeout(ctx, opinionTimeout)
+func (p *Promoter) requestPeerReport(ctx context.Context, incarnation, host string) {
+	ctx, cancel := context.WithTimeout(ctx, peerReportTimeout)
 	defer cancel()
 	asked := clock.Now()
-	o, answered := p.peers.Opinion(ctx, p.service, incarnation, host)
+	report, answered := p.peers.RequestPeerReport(ctx, p.service, incarnation, host)
 	if !answered {
 		return
 	}
 	p.mu.Lock()
-	p.opinions.Record(incarnation, o, asked)
-	if o.Leading {
+	p.peerReports.Record(incarnation, report, asked)
+	if report.Leading {
 		p.leaderSeenAt = max(p.leaderSeenAt, asked)
 	}
 	p.mu.Unlock()
 	p.Wake()
 }
 
-// Opinion answers another host's question about a primary. A host that does not
-// consider the primary dead starts a check of its own.
-func (p *Promoter) Opinion(ctx context.Context, incarnation string) succession.Opinion {
+// PeerReport answers another host's question about a primary. If this host does
+// not consider the primary dead, it starts a check of its own.
+func (p *Promoter) PeerReport(ctx context.Context, incarnation string) succession.Opinion {
 	now := clock.Now()
 	p.mu.Lock()
-	p.askedUntil = now + questionTTL
+	p.suspectedByPeerUntil = now + questionTTL
 	p.mu.Unlock()
-	o := succession.Opinion{
-		Host: p.host, StoreReached: !p.registry.Away(), Lock: p.registry.LockOf(p.service).Token(),
+	report := succession.Opinion{
+		Host: p.host, StoreReached: !p.registry.StoreUnreachable(), Lock: p.registry.LockOf(p.service).Token(),
 		Dead: p.hasLost(incarnation, now) && !p.wasSuspended(now), Reaches: p.reaches(incarnation, now), Leading: p.leading.Load(),
 	}
-	if !o.Dead {
+	if !report.Dead {
 		p.Wake()
 	}
-	return o
+	return report
 }
 
 // reaches reports whether a primary has recently answered this host, so that
@@ -127,7 +129,7 @@
 // hasLost reports whether this host considers a primary dead.
 func (p *Promoter) hasLost(incarnation string, now time.Duration) bool {
 	if incarnation == noPrimary {
-		_, found := p.set.BelievedPrimary()
+		_, found := p.set.AssumedPrimary()
 		return !found
 	}
 	m, known := p.memberByIncarnation(incarnation)
--- a/node/promoter/call.go
+++ b/node/promoter/call.go
@@ -25,14 +25,13 @@
 // refused the token.
 type refusalError interface{ Refused() bool }
 
-// tokenRefused reports whether the platform has refused the fencing token.
 func tokenRefused(err error) bool {
 	var r refusalError
 	return errors.As(err, &r) && r.Refused()
 }
 
-// callPromote calls the platform until it answers. Answers may be lost while all
-// writes of the group wait for the new primary, so the first retries come early.
+// callPromote calls the platform until it answers, with short timeouts at first:
+// all writes of the group wait for the new primary, and an answer may be lost.
 func (p *Promoter) callPromote(ctx context.Context, member string, token uint64) error {
 	var err error
 	for attempt := range maxPromoteCalls {
@@ -59,5 +58,4 @@
 	return p.platform.Promote(ctx, p.service, member, token)
 }
 
-// callTimeout returns the timeout of an attempt.
 func callTimeout(attempt int) time.Duration { return min(firstCallTimeout<<attempt, maxCallTimeout) }
--- a/node/promoter/collect_reports.go
+++ b/node/promoter/collect_reports.go
@@ -6,8 +6,9 @@
 	"github.com/dotterelswitch/dotterelswitch/core/succession"
 )
 
-// orderResult is a replica's answer to an order, or the failure to get one.
-type orderResult struct {
+// controlResult is a replica's answer to a control operation, or the failure to
+// get one.
+type controlResult struct {
 	report succession.Report
 	failed bool
 }
@@ -18,10 +19,10 @@
 // replica would prolong the outage.
 const surveyGracePeriod = 250 * time.Millisecond
 
-// collectReports collects the answers to an order. If oneSuffices is set, it
+// collectReports collects the answers to a control operation. If oneSuffices is set, it
 // stops waiting surveyGracePeriod after the first answer. The channel must have
 // capacity for all answers, because late ones are not read.
-func collectReports(results <-chan orderResult, asked int, oneSuffices bool) []succession.Report {
+func collectReports(results <-chan controlResult, asked int, oneSuffices bool) []succession.Report {
 	var reports []succession.Report
 	var graceOver <-chan time.Time
 	for pending := asked; pending > 0; pending-- {
--- a/node/promoter/collect_reports_test.go
+++ b/node/promoter/collect_reports_test.go
@@ -11,10 +11,10 @@
 )
 
 // answerAfter sends a replica's result after a delay.
-func answerAfter(results chan<- orderResult, d time.Duration, id string, failed bool) {
+func answerAfter(results chan<- controlResult, d time.Duration, id string, failed bool) {
 	go func() {
 		time.Sleep(d)
-		results <- orderResult{report: succession.Report{ID: id}, failed: failed}
+		results <- controlResult{report: succession.Report{ID: id}, failed: failed}
 	}()
 }
 
@@ -22,7 +22,7 @@
 // unreachable replica.
 func TestSurveyDoesNotWaitForUnreachableReplica(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		results := make(chan orderResult, 2)
+		results := make(chan controlResult, 2)
 		answerAfter(results, 40*time.Millisecond, "near", false)
 		answerAfter(results, 700*time.Millisecond, "silent", true)
 		started := time.Now()
@@ -36,7 +36,7 @@
 
 func TestSurveyWaitsForSlowReplicaWithinGracePeriod(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		results := make(chan orderResult, 2)
+		results := make(chan controlResult, 2)
 		answerAfter(results, 40*time.Millisecond, "near", false)
 		answerAfter(results, 200*time.Millisecond, "slow", false)
 		require.Len(t, collectReports(results, 2, true), 2)
@@ -47,7 +47,7 @@
 // the other one lacks.
 func TestSurveyWaitsForAllWithSynchronousReplicas(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		results := make(chan orderResult, 2)
+		results := make(chan controlResult, 2)
 		answerAfter(results, 40*time.Millisecond, "near", false)
 		answerAfter(results, 650*time.Millisecond, "slow", false)
 		require.Len(t, collectReports(results, 2, false), 2)
--- a/node/promoter/evidence.go
+++ b/node/promoter/evidence.go
@@ -10,14 +10,14 @@
 	"github.com/dotterelswitch/dotterelswitch/node/eventlog"
 )
 
-// suspensionThreshold is the delay between two checks from which on this process
-// is assumed to have been suspended. It spans several check intervals and CPU
-// quota throttling.
+// suspensionThreshold is the time between two checks above which this process is
+// assumed to have been suspended. It exceeds several check intervals and pauses
+// from CPU quotas.
 const suspensionThreshold = 300 * time.Millisecond
 
 // wasSuspended reports whether this process did not run for a while since the
-// last check. It received nothing meanwhile, so members must not be taken for
-// silent.
+// last check. It received no answers meanwhile, so the lack of answers is no
+// evidence that a member failed.
 func (p *Promoter) wasSuspended(now time.Duration) bool {
 	last := time.Duration(p.lastCheck.Load())
 	return last > 0 && now-last > suspensionThreshold
@@ -26,7 +26,7 @@
 // failedPrimary returns the primary that this host considers dead, noPrimary for
 // a group without a primary, or the empty string.
 func (p *Promoter) failedPrimary(now time.Duration) string {
-	id, found := p.set.BelievedPrimary()
+	id, found := p.set.AssumedPrimary()
 	if !found {
 		if len(p.set.Members()) == 0 {
 			p.noPrimarySince = 0
@@ -71,8 +71,9 @@
 	return 0
 }
 
-// incarnationOf names the current incarnation of a member, so that reports about
-// an earlier one do not count against it.
+// incarnationOf returns the current incarnation of a member, which keeps reports
+// about an earlier one from counting against it. It returns an unknown ID, such
+// as noPrimary, unchanged.
 func (p *Promoter) incarnationOf(id string) string {
 	if m, known := p.set.Member(id); known {
 		return m.Incarnation()
@@ -80,21 +81,21 @@
 	return id
 }
 
-// wasAsked reports whether another host has recently asked about the primary.
-func (p *Promoter) wasAsked(now time.Duration) bool {
+// suspectedByPeer reports whether another host has recently asked about the primary.
+func (p *Promoter) suspectedByPeer(now time.Duration) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return now < p.askedUntil
+	return now < p.suspectedByPeerUntil
 }
 
-// primarySuspected reports whether the primary may be dead: its health is in
-// doubt here, or another host has reported it in the store.
+// primarySuspected reports whether the primary may be dead: this host suspects
+// it, or another host has reported it as dead in the store.
 //
 // Every host sees a report in the store, but only the voters and the lock holder
-// act on it. If all hosts of a large fleet asked the holder, they would overload
-// it while it leads the promotion.
+// act on it. If all hosts of a large fleet asked the holder about the primary,
+// they would overload it while it leads the promotion.
 func (p *Promoter) primarySuspected(now time.Duration) bool {
-	id, found := p.set.BelievedPrimary()
+	id, found := p.set.AssumedPrimary()
 	if !found {
 		// The members of a newly declared group may not be registered yet.
 		return len(p.set.Members()) > 0
@@ -109,10 +110,10 @@
 	return p.set.IsVoter() || p.registry.LockOf(p.service).Holder == p.host
 }
 
-// corroborate tells the failure detector whether other hosts also consider the
-// primary dead.
-func (p *Promoter) corroborate(now time.Duration) {
-	id, found := p.set.BelievedPrimary()
+// updatePeerConfirmation tells the failure detector whether other hosts also
+// consider the primary dead; with their confirmation it needs less evidence.
+func (p *Promoter) updatePeerConfirmation(now time.Duration) {
+	id, found := p.set.AssumedPrimary()
 	if !found {
 		return
 	}
@@ -121,14 +122,14 @@
 		return
 	}
 	others := slices.DeleteFunc(p.suspectingHosts(m.Incarnation(), now), func(host string) bool { return host == p.host })
-	m.SetCorroborated(len(others) > 0)
+	m.SetConfirmedByPeers(len(others) > 0)
 }
 
 // suspectingHosts returns the hosts that have reported a primary as dead,
 // directly or in the store.
 func (p *Promoter) suspectingHosts(incarnation string, now time.Duration) []string {
 	p.mu.Lock()
-	hosts := succession.HostsSuspecting(p.opinions.Current(incarnation, now))
+	hosts := succession.HostsSuspecting(p.peerReports.Current(incarnation, now))
 	p.mu.Unlock()
 	if !p.disabled.Enabled(mechanism.DirectVotes) {
 		hosts = nil
@@ -165,10 +166,10 @@
 )
 
 // probeSuspect probes a suspected primary until it is known to be alive or dead.
-// Without probes, voters without traffic would have no evidence of their own and
-// could not vote.
+// A voter that sends the primary no statements has no other evidence to base its
+// vote on.
 func (p *Promoter) probeSuspect(ctx context.Context, now time.Duration) {
-	id, found := p.set.BelievedPrimary()
+	id, found := p.set.AssumedPrimary()
 	if !found || now-p.probedAt < probeInterval || !p.set.IsVoter() {
 		return
 	}
--- a/node/promoter/lead.go
+++ b/node/promoter/lead.go
@@ -11,9 +11,9 @@
 	"github.com/dotterelswitch/dotterelswitch/node/eventlog"
 )
 
-// tryPromotion runs a promotion if this host holds the lock, or takes the lock
-// first once it is this host's turn. Failed is the dead primary to replace; empty
-// for a planned handover.
+// tryPromotion runs a promotion if this host holds the lock. Otherwise it first
+// takes the lock, after this host's takeover delay. failed is the dead primary to
+// replace; empty for a planned switchover.
 func (p *Promoter) tryPromotion(ctx context.Context, now time.Duration, failed string, promote func(context.Context, uint64) error) {
 	if p.readySince == 0 {
 		p.readySince = now
@@ -22,17 +22,17 @@
 	p.mu.Lock()
 	backingOff := now < p.backoffUntil
 	holds := lock.Holder == p.host && lock.Token() == p.newestToken && lock.Token() > p.fencedToken
-	opinions := p.opinions.Current(incarnation, now)
+	peerReports := p.peerReports.Current(incarnation, now)
 	p.mu.Unlock()
-	storeAway := p.registry.Away()
-	mayLead := !backingOff && holds && p.disabled.Enabled(mechanism.StandingLeader) && succession.MayLead(p.host, lock, !storeAway, opinions)
+	storeUnreachable := p.registry.StoreUnreachable()
+	mayLead := !backingOff && holds && p.disabled.Enabled(mechanism.StandingLeader) && succession.MayLead(p.host, lock, !storeUnreachable, peerReports)
 	p.leading.Store(mayLead)
 	switch {
 	case mayLead:
 		eventlog.PrimaryLossAgreed.Info(p.log).Str("upstream", failed).Uint64("token", lock.Token()).
-			Bool("store_away", storeAway).Int("opinions", len(opinions)).Send()
+			Bool("store_away", storeUnreachable).Int("opinions", len(peerReports)).Send()
 		p.runPromotion(ctx, lock.Token(), promote)
-	case !backingOff && !storeAway && now >= p.earliestTakeover(lock):
+	case !backingOff && !storeUnreachable && now >= p.earliestTakeover(lock):
 		p.takeOver(ctx, lock, promote)
 	}
 }
@@ -72,7 +72,7 @@
 	ctx, cancel := context.WithTimeout(ctx, promotionTimeout)
 	defer cancel()
 	err := promote(ctx, token)
-	p.observe(resultOf(err))
+	p.onResult(resultOf(err))
 	if err != nil {
 		eventlog.GroupCommandFailed.Warn(p.log).Err(err).Str("order", "promotion").Uint64("token", token).Send()
 		if tokenRefused(err) {
--- a/node/promoter/primary_report_test.go
+++ b/node/promoter/primary_report_test.go
@@ -29,7 +29,7 @@
 
 func (r reportingRegistry) Hosts() []string                    { return r.hosts }
 func (r reportingRegistry) Suspecting(string, string) []string { return []string{"h0"} }
-func (r reportingRegistry) Away() bool                         { return false }
+func (r reportingRegistry) StoreUnreachable() bool             { return false }
 func (r reportingRegistry) Epoch() store.Epoch                 { return r.epoch }
 
 func (r reportingRegistry) LockOf(string) succession.Lock {
@@ -45,14 +45,14 @@
 // countingPeers counts the questions to other hosts.
 type countingPeers struct{ questions atomic.Int64 }
 
-func (p *countingPeers) Opinion(context.Context, string, string, string) (succession.Opinion, bool) {
+func (p *countingPeers) RequestPeerReport(context.Context, string, string, string) (succession.Opinion, bool) {
 	p.questions.Add(1)
 	return succession.Opinion{}, false
 }
 func (p *countingPeers) AddressOf(string) (string, bool)      { return "", false }
 func (p *countingPeers) Announce(string, string, logpos.Term) {}
 
-// Guards against a report in the store making every host of a large fleet ask
+// Guards against a report in the store that makes every host of a large fleet ask
 // others about the primary.
 func TestOnlyVotersActOnReports(t *testing.T) {
 	for _, size := range []int{30, 300} {
@@ -73,7 +73,7 @@
 				set.Update([]directory.Member{member}, catalog.Service{MaxConnections: 88}, fleet)
 				p := New(Config{Service: "svc", Host: h.Name, Set: set, Registry: registry, Peers: peers, Log: zerolog.Nop()})
 				before := peers.questions.Load()
-				p.requestOpinions(ctx, clock.Now(), p.primarySuspected(clock.Now()), false)
+				p.requestPeerReports(ctx, clock.Now(), p.primarySuspected(clock.Now()), false)
 				require.Eventually(t, func() bool { return !p.actsOnReports() || peers.questions.Load() > before }, 20*time.Second, time.Millisecond)
 				if p.primarySuspected(clock.Now()) {
 					asking++
--- a/node/promoter/promoter.go
+++ b/node/promoter/promoter.go
@@ -1,7 +1,11 @@
 // Package promoter fails over primaries that a majority of voters consider dead,
-// and hands over primaries that are being drained. Every host runs it. The holder
-// of the service's lock in the platform's store leads the promotion; the lock's
-// revision is the fencing token of its orders.
+// and performs planned switchovers of draining primaries. It serves the hosts of
+// the users' platform (package entry); hosts that speak PostgreSQL to their
+// callers (package host) use groupmonitor instead.
+//
+// Every host runs a promoter for each group. The holder of the service's lock in
+// the platform's store leads the promotion; the lock's revision is the fencing
+// token of its calls.
 package promoter
 
 import (
@@ -26,12 +30,12 @@
 	Promote(ctx context.Context, service, member string, token uint64) error
 }
 
-// Registry gives access to the platform's store.
+// Registry is the part of the platform's store that promotions use.
 type Registry interface {
 	Hosts() []string
 	Suspecting(service, member string) []string
-	// Away reports whether the store cannot be reached from this host.
-	Away() bool
+	// StoreUnreachable reports whether the store cannot be reached from this host.
+	StoreUnreachable() bool
 	// Epoch returns the newest store epoch that this host has observed.
 	Epoch() store.Epoch
 	LockOf(service string) succession.Lock
@@ -44,9 +48,9 @@
 
 // Peers carries direct messages to other hosts.
 type Peers interface {
-	// Opinion asks a host whether it considers a primary dead. It reports false
-	// if the host does not answer in time.
-	Opinion(ctx context.Context, service, primary, host string) (succession.Opinion, bool)
+	// RequestPeerReport asks a host whether it considers a primary dead. It
+	// returns false if the host does not answer in time.
+	RequestPeerReport(ctx context.Context, service, primary, host string) (succession.Opinion, bool)
 	// AddressOf returns the address at which a host accepts forwarded statements.
 	AddressOf(host string) (string, bool)
 	// Announce sends the new primary to all hosts without waiting for them.
@@ -54,14 +58,15 @@
 }
 
 const (
-	// CheckInterval is how often a healthy group is checked, and
-	// suspectCheckInterval how often while its primary is suspected.
-	CheckInterval        = 100 * time.Millisecond
+	// CheckInterval is how often a healthy group is checked.
+	CheckInterval = 100 * time.Millisecond
+	// suspectCheckInterval is how often a group is checked while its primary is
+	// suspected.
 	suspectCheckInterval = 50 * time.Millisecond
 	// noPrimary takes the place of the primary's ID in a group without a primary.
 	noPrimary = "none"
-	// noPrimaryTimeout is how long a group must have no primary before that
-	// counts as a loss. It exceeds the time until a promotion in progress becomes
+	// noPrimaryTimeout is how long a group must have no primary before it needs
+	// a failover. It exceeds the time until a promotion in progress becomes
 	// visible.
 	noPrimaryTimeout = 1500 * time.Millisecond
 	// promotionTimeout bounds one promotion.
@@ -71,7 +76,7 @@
 	attemptBackoff = 500 * time.Millisecond
 )
 
-// Promoter runs failover and planned handover for one group.
+// Promoter runs failover and planned switchover for one group.
 type Promoter struct {
 	service  string
 	host     string
@@ -80,27 +85,28 @@
 	platform Platform
 	peers    Peers
 	spec     func() catalog.Service
-	observe  func(Result)
+	onResult func(Result)
 	disabled mechanism.Disabled
 	log      zerolog.Logger
 
-	// wake triggers a check of the group, storeWake a synchronization with the
-	// store.
+	// wake triggers a check of the group; storeWake triggers a synchronization
+	// with the store.
 	wake, storeWake chan struct{}
-	// checkMu is held during a check of the group, storeMu while the store is
-	// brought up to date. Neither is acquired while the other is held.
+	// checkMu is held during a check of the group, storeMu during a
+	// synchronization with the store. Neither is acquired while the other is held.
 	checkMu, storeMu sync.Mutex
 	// lastCheck is when the group was last checked, on the clock of node/clock.
 	lastCheck atomic.Int64
-	// leading is whether this host leads a promotion or is about to start one.
+	// leading is set while this host leads a promotion or is about to start one.
 	leading atomic.Bool
 
-	// checkMu guards the fields up to storeSync.
-
 	// noPrimarySince is when the group was first seen without a primary; zero
-	// while it has one.
+	// while it has one. It is guarded by checkMu, like the fields up to
+	// fencedToken.
 	noPrimarySince time.Duration
-	// readySince is when the condition for a promotion was first met.
+	// readySince is since when a promotion is due (a majority considers the
+	// primary dead, or the primary drains); zero if none is. The takeover delay
+	// starts then.
 	readySince time.Duration
 	// probedAt is when a suspected primary was last probed.
 	probedAt time.Duration
@@ -113,19 +119,19 @@
 
 	// mu guards the fields below. No other lock is acquired while it is held.
 	mu sync.Mutex
-	// lostPrimary is the primary that this host considers dead, and lostSince
-	// since when; empty for none.
+	// lostPrimary is the incarnation of the primary that this host considers
+	// dead; empty for none. lostSince is when it became so.
 	lostPrimary string
 	lostSince   time.Duration
-	// askedUntil is until when a question from another host keeps the primary
-	// under suspicion.
-	askedUntil   time.Duration
-	backoffUntil time.Duration
+	// suspectedByPeerUntil is until when the primary is checked because another
+	// host has asked about it.
+	suspectedByPeerUntil time.Duration
+	backoffUntil         time.Duration
 	// newestToken is the newest token that this host has acquired since it
 	// started.
 	newestToken uint64
-	opinions    succession.Opinions
-	// askedAt is when each host was last asked for its opinion.
+	peerReports succession.Opinions
+	// askedAt is when each host was last asked for its report.
 	askedAt map[string]time.Duration
 	// leaderSeenAt is when the lock holder last reported that it leads a
 	// promotion.
@@ -142,8 +148,8 @@
 	// Spec returns the declared configuration of the service.
 	Spec func() catalog.Service
 	// Observe receives the result of each promotion that this host has led.
-	Observe func(Result)
-	// Disabled lists the mechanisms that are switched off on this host.
+	OnResult func(Result)
+	// Disabled lists the mechanisms that are disabled on this host.
 	Disabled mechanism.Disabled
 	Log      zerolog.Logger
 }
@@ -152,7 +158,7 @@
 func New(cfg Config) *Promoter {
 	return &Promoter{
 		service: cfg.Service, host: cfg.Host, set: cfg.Set, registry: cfg.Registry, platform: cfg.Platform, peers: cfg.Peers,
-		spec: cfg.Spec, observe: cfg.Observe, disabled: cfg.Disabled, log: cfg.Log.With().Str("service", cfg.Service).Logger(),
+		spec: cfg.Spec, onResult: cfg.OnResult, disabled: cfg.Disabled, log: cfg.Log.With().Str("service", cfg.Service).Logger(),
 		wake: make(chan struct{}, 1), storeWake: make(chan struct{}, 1), askedAt: map[string]time.Duration{},
 	}
 }
@@ -191,6 +197,7 @@
 // not block. One timer calls it for all groups of a host, because nearly all
 // groups are healthy at any time.
 func (p *Promoter) Tick(now time.Duration) {
+	// If a lock is held, a check or a synchronization is running already.
 	if p.checkMu.TryLock() {
 		healthy := p.assess(now).healthy()
 		p.checkMu.Unlock()
@@ -223,14 +230,15 @@
 
 // assessment is this host's view of the primary's health.
 type assessment struct {
-	// failed is the primary that this host considers dead; empty for none.
+	// failed is the ID of the primary that this host considers dead; empty for
+	// none.
 	failed string
-	// draining is whether the primary is being drained, suspected whether it may
-	// be dead, and asked whether another host has asked about it.
-	draining, suspected, asked bool
+	// draining is set if a switchover of the primary is due, suspected if the
+	// primary may be dead, and suspectedByPeer if another host has asked about it.
+	draining, suspected, suspectedByPeer bool
 }
 
-func (a assessment) healthy() bool { return !a.draining && !a.suspected && !a.asked }
+func (a assessment) healthy() bool { return !a.draining && !a.suspected && !a.suspectedByPeer }
 
 // assess evaluates the state of the group. It is called with checkMu held.
 func (p *Promoter) assess(now time.Duration) assessment {
@@ -238,10 +246,10 @@
 		p.set.Resumed(now)
 	}
 	p.lastCheck.Store(int64(now))
-	p.corroborate(now)
-	a := assessment{failed: p.failedPrimary(now), asked: p.wasAsked(now)}
+	p.updatePeerConfirmation(now)
+	a := assessment{failed: p.failedPrimary(now), suspectedByPeer: p.suspectedByPeer(now)}
 	p.recordLoss(a.failed, now)
-	a.draining = a.failed == "" && p.handoverDue()
+	a.draining = a.failed == "" && p.switchoverDue()
 	a.suspected = a.failed != "" || p.primarySuspected(now)
 	return a
 }
@@ -251,6 +259,8 @@
 func (p *Promoter) check(ctx context.Context) bool {
 	now := clock.Now()
 	a := p.assess(now)
+	// Recorded again at the end, so that a long check is not taken for a
+	// suspension of the process.
 	defer func() { p.lastCheck.Store(int64(clock.Now())) }()
 	if a.healthy() {
 		p.leading.Store(false)
@@ -258,13 +268,13 @@
 		return false
 	}
 	p.probeSuspect(ctx, now)
-	p.requestOpinions(ctx, now, a.suspected, a.failed != "")
-	p.detour(a.failed, now)
+	p.requestPeerReports(ctx, now, a.suspected, a.failed != "")
+	p.routeAround(a.failed, now)
 	switch {
 	case a.failed != "" && p.lossAgreed(a.failed, now):
 		p.tryPromotion(ctx, now, a.failed, func(ctx context.Context, token uint64) error { return p.replace(ctx, a.failed, token) })
 	case a.draining:
-		p.tryPromotion(ctx, now, "", p.handOver)
+		p.tryPromotion(ctx, now, "", p.switchOver)
 	default:
 		p.leading.Store(false)
 		p.readySince = 0
--- a/node/promoter/replace.go
+++ b/node/promoter/replace.go
@@ -28,8 +28,8 @@
 	// newPrimaryTimeout bounds the wait until a promoted member becomes primary.
 	newPrimaryTimeout      = 2500 * time.Millisecond
 	newPrimaryPollInterval = 20 * time.Millisecond
-	// pollsPerProbe is the number of local checks for each probe of the member,
-	// because a probe occupies one of its slots.
+	// pollsPerProbe is the number of polls of the local state per probe of the
+	// member. Probes are rarer because each occupies a slot of the member.
 	pollsPerProbe = 3
 )
 
@@ -41,7 +41,7 @@
 		p.resume(ctx, reports)
 		return err
 	}
-	if id, found := p.set.BelievedPrimary(); found && id != failed {
+	if id, found := p.set.AssumedPrimary(); found && id != failed {
 		p.resume(ctx, reports)
 		return errRecovered
 	}
@@ -73,27 +73,27 @@
 }
 
 // survey pauses replication on the replicas and returns their positions, which
-// cannot change afterwards. The first order already carries a guessed term:
-// asking for the current term first would cost another round trip.
+// cannot change afterwards. The first round guesses the term, which saves the
+// round trip to ask for it; a further round is needed if the guess was too low.
 func (p *Promoter) survey(ctx context.Context, failed string) ([]succession.Report, error) {
 	var reports []succession.Report
-	leading := map[string]bool{}
+	primaries := map[string]bool{}
 	newest := p.set.Term()
 	for range maxSurveyRounds {
 		term := newest + 1
-		asked := p.orderReplicas(ctx, failed, func(id string) statement.Operation { return pauseOrder(leading[id], term) })
+		asked := p.sendControlToReplicas(ctx, failed, func(id string) statement.Operation { return pauseOperation(primaries[id], term) })
 		reports = nil
 		for _, r := range asked {
 			newest = max(newest, r.Status.Term)
 			if r.Status.Primary && !p.set.LostLog(r.ID, r.Status) {
 				return asked, errRecovered
 			}
-			// A member ignores an order of a term that it already knows.
-			stopped := r.Status.PausedTerm >= term || leading[r.ID]
+			// A member ignores an operation with a term that it already knows.
+			stopped := r.Status.PausedTerm >= term || primaries[r.ID]
 			if stopped && !r.Status.Primary {
 				reports = append(reports, r)
 			}
-			leading[r.ID] = r.Status.Primary
+			primaries[r.ID] = r.Status.Primary
 		}
 		if _, ok := succession.ChooseCandidate(reports, p.replicas(failed), p.spec().SyncReplicas); ok {
 			return reports, nil
@@ -105,26 +105,26 @@
 	return reports, errNoCandidate
 }
 
-// pauseOrder returns the order that freezes a member's log. A primary that has
-// restarted without its log steps down, so that it can follow a more complete
-// one.
-func pauseOrder(leads bool, term logpos.Term) statement.Operation {
-	if leads {
+// pauseOperation returns the operation that stops a member's log from growing. A
+// member that has restarted as primary without its log must step down, so that it
+// can replicate from a member with a more complete log.
+func pauseOperation(isPrimary bool, term logpos.Term) statement.Operation {
+	if isPrimary {
 		return statement.Operation{Verb: statement.StepDown, Term: term}
 	}
 	return statement.Operation{Verb: statement.PauseReplication, Term: term}
 }
 
-// sameOrder gives every member the same order.
-func sameOrder(op statement.Operation) func(string) statement.Operation {
+// sameOperation selects the same operation for every member.
+func sameOperation(op statement.Operation) func(string) statement.Operation {
 	return func(string) statement.Operation { return op }
 }
 
-// orderReplicas sends an order to all members except one and collects the
-// answers.
-func (p *Promoter) orderReplicas(ctx context.Context, failed string, order func(id string) statement.Operation) []succession.Report {
+// sendControlToReplicas sends a control operation to all members except the
+// failed one and collects the answers.
+func (p *Promoter) sendControlToReplicas(ctx context.Context, failed string, order func(id string) statement.Operation) []succession.Report {
 	members := p.set.Members()
-	results := make(chan orderResult, len(members))
+	results := make(chan controlResult, len(members))
 	asked := 0
 	for _, m := range members {
 		if m.ID() == failed {
@@ -136,7 +136,7 @@
 			if err != nil {
 				eventlog.GroupCommandFailed.Info(p.log).Err(err).Str("upstream", m.ID()).Str("order", "survey").Send()
 			}
-			results <- orderResult{report: succession.Report{ID: m.ID(), Leaving: m.Leaving(), Status: st}, failed: err != nil}
+			results <- controlResult{report: succession.Report{ID: m.ID(), Leaving: m.Leaving(), Status: st}, failed: err != nil}
 		}()
 	}
 	return collectReports(results, asked, p.spec().SyncReplicas == 0)
@@ -153,7 +153,7 @@
 	}
 }
 
-// promote orders a promotion and waits until the member is primary.
+// promote requests a promotion and waits until the member is primary.
 func (p *Promoter) promote(ctx context.Context, chosen succession.Report, token uint64) error {
 	started := clock.Now()
 	eventlog.PromotionOrdered.Info(p.log).Str("upstream", chosen.ID).Uint64("token", token).Stringer("received", chosen.Status.Received).Send()
@@ -184,7 +184,7 @@
 			return nil
 		}
 		if tick%pollsPerProbe == 0 {
-			p.set.RequestStatus(ctx, m)
+			p.set.RefreshStatus(ctx, m)
 		}
 		clock.Sleep(ctx, newPrimaryPollInterval)
 	}
@@ -192,15 +192,15 @@
 }
 
 func (p *Promoter) isPrimary(id string) bool {
-	primary, found := p.set.BelievedPrimary()
+	primary, found := p.set.AssumedPrimary()
 	return found && primary == id
 }
 
 const (
-	// maxHandoverLag is how many entries a replica may lag behind when the
-	// primary is told to step down.
-	maxHandoverLag logpos.Offset = 20
-	// catchUpTimeout bounds the wait for a replica to come within maxHandoverLag.
+	// maxSwitchoverLag is how many log entries a replica may lag behind when the
+	// primary is asked to step down.
+	maxSwitchoverLag logpos.Offset = 20
+	// catchUpTimeout bounds the wait for a replica to come within maxSwitchoverLag.
 	catchUpTimeout = 2500 * time.Millisecond
 	// fullLogTimeout bounds the wait, after the primary has stepped down, for a
 	// replica to receive the complete log.
@@ -208,10 +208,10 @@
 	catchUpPollInterval = 30 * time.Millisecond
 )
 
-// handoverDue reports whether the primary is being drained and another member can
+// switchoverDue reports whether the primary is being drained and another member can
 // take over.
-func (p *Promoter) handoverDue() bool {
-	id, found := p.set.BelievedPrimary()
+func (p *Promoter) switchoverDue() bool {
+	id, found := p.set.AssumedPrimary()
 	if !found {
 		return false
 	}
@@ -227,10 +227,10 @@
 	return false
 }
 
-// handOver promotes a replica that has the complete log of a draining primary, so
-// that no entry is lost.
-func (p *Promoter) handOver(ctx context.Context, token uint64) error {
-	id, found := p.set.BelievedPrimary()
+// switchOver promotes a replica that has the complete log of a draining primary,
+// so that no entry is lost.
+func (p *Promoter) switchOver(ctx context.Context, token uint64) error {
+	id, found := p.set.AssumedPrimary()
 	if !found {
 		return errRecovered
 	}
@@ -252,7 +252,7 @@
 	return p.promote(ctx, chosen, token)
 }
 
-// awaitCatchUp waits until a remaining replica is within maxHandoverLag of the
+// awaitCatchUp waits until a remaining replica is within maxSwitchoverLag of the
 // primary.
 func (p *Promoter) awaitCatchUp(ctx context.Context, old *replicaset.Member) {
 	deadline := clock.Now() + catchUpTimeout
@@ -260,7 +260,7 @@
 		status, err := p.set.Status(ctx, old)
 		if err == nil {
 			for _, r := range p.remainingReplicas(ctx, old.ID()) {
-				if r.Status.Received.Offset+maxHandoverLag >= status.Received.Offset {
+				if r.Status.Received.Offset+maxSwitchoverLag >= status.Received.Offset {
 					return
 				}
 			}
@@ -287,7 +287,7 @@
 // remainingReplicas returns the status of the replicas that are not draining.
 func (p *Promoter) remainingReplicas(ctx context.Context, old string) []succession.Report {
 	var out []succession.Report
-	for _, r := range p.orderReplicas(ctx, old, sameOrder(statement.Operation{Verb: statement.ReportStatus})) {
+	for _, r := range p.sendControlToReplicas(ctx, old, sameOperation(statement.Operation{Verb: statement.ReportStatus})) {
 		if !r.Leaving {
 			out = append(out, r)
 		}
--- a/node/promoter/detour.go
+++ b/node/promoter/route_around.go
@@ -7,15 +7,15 @@
 	"github.com/dotterelswitch/dotterelswitch/core/succession"
 )
 
-// detour routes statements for a primary that is unreachable from this host
-// through hosts that reach it. It serves partitions that cut the primary off from
-// too few hosts to replace it.
-func (p *Promoter) detour(primary string, now time.Duration) {
+// routeAround routes statements for a primary that is unreachable from this host
+// through hosts that reach it. This covers partitions in which only a minority of
+// the hosts loses the primary, which is then not replaced.
+func (p *Promoter) routeAround(primary string, now time.Duration) {
 	if primary == "" || primary == noPrimary || !p.disabled.Enabled(mechanism.Detours) {
 		return
 	}
 	p.mu.Lock()
-	reaching := succession.HostsReaching(p.opinions.Current(p.lostPrimary, now))
+	reaching := succession.HostsReaching(p.peerReports.Current(p.lostPrimary, now))
 	p.mu.Unlock()
 	var addresses []string
 	for _, host := range reaching {
@@ -23,5 +23,5 @@
 			addresses = append(addresses, address)
 		}
 	}
-	p.set.SetDetours(primary, addresses, now)
+	p.set.SetAlternateHosts(primary, addresses, now)
 }
--- a/node/promoter/store_sync.go
+++ b/node/promoter/store_sync.go
@@ -12,8 +12,8 @@
 
 const (
 	// reportDelay is how long this host must consider the primary dead before it
-	// reports that in the store. Hosts that reach each other agree directly
-	// within this time, which saves one store write for each host.
+	// reports that in the store. Hosts that reach each other usually agree
+	// directly within this time, which saves the writes to the store.
 	reportDelay = 300 * time.Millisecond
 	// vacantLockDelay is how long a lock must be without a holder before a host
 	// takes it. When a fleet starts, each host knows only itself at first and
@@ -29,7 +29,8 @@
 	// epoch reportedEpoch. Reports of earlier epochs are void.
 	reported      string
 	reportedEpoch store.Epoch
-	// vacantSince is when this host first became the one to take a vacant lock.
+	// vacantSince is since when this host is due to take a vacant lock; zero if
+	// it is not.
 	vacantSince time.Duration
 }
 
@@ -51,14 +52,15 @@
 // storeSyncDue reports whether syncStore has work to do. It is called with
 // storeMu held.
 func (p *Promoter) storeSyncDue(now time.Duration) bool {
-	if p.registry.Away() {
+	if p.registry.StoreUnreachable() {
 		return false
 	}
 	return p.primaryToReport(now) != p.reportedPrimary() || p.shouldTakeLock(p.registry.LockOf(p.service), now)
 }
 
 // primaryToReport returns the primary that should be reported as dead in the
-// store; empty for none.
+// store; empty for none. While a new report is not due yet, that is the primary
+// already reported.
 func (p *Promoter) primaryToReport(now time.Duration) string {
 	p.mu.Lock()
 	lost, since := p.lostPrimary, p.lostSince
@@ -90,7 +92,7 @@
 // syncStore updates this host's report on the primary and takes a vacant lock if
 // this host is the one to do so. It is called with storeMu held.
 func (p *Promoter) syncStore(ctx context.Context) {
-	if p.registry.Away() {
+	if p.registry.StoreUnreachable() {
 		return
 	}
 	now := clock.Now()
@@ -112,6 +114,7 @@
 	return p.set.IsVoter() || len(p.registry.Suspecting(p.service, lost)) == 0
 }
 
+// report replaces this host's report in the store. An empty lost withdraws it.
 func (p *Promoter) report(ctx context.Context, lost string) {
 	epoch := p.registry.Epoch()
 	if reported := p.reportedPrimary(); reported != "" {
--- a/node/registry/registry.go
+++ b/node/registry/registry.go
@@ -187,7 +187,7 @@
 
 // Away reports whether a call to the store has failed and neither the store nor a relay
 // has sent data since.
-func (r *Registry) Away() bool {
+func (r *Registry) StoreUnreachable() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.unreachable
--- a/node/replicaset/attempts.go
+++ b/node/replicaset/attempts.go
@@ -32,8 +32,8 @@
 func (a *attempts) try(ctx context.Context, m *Member, j Job, primary bool) (Result, bool) {
 	a.outcome.Attempts++
 	a.outcome.Member, a.outcome.Primary, a.outcome.Floor = m.id, primary, j.Floor
-	res, gate := a.set.dispatch(ctx, m, j)
-	a.outcome.Waited, a.outcome.Gate = res.Waited, gate
+	res, gateAddress := a.set.dispatch(ctx, m, j)
+	a.outcome.Waited, a.outcome.Gate = res.Waited, gateAddress
 	if res.Err == nil && !retryable(res.Answer.Code) {
 		a.outcome.Answer = res.Answer
 		return res, true
@@ -84,7 +84,7 @@
 			break
 		}
 		a.outcome.Source = a.source(r)
-		res, done := a.try(ctx, r.member, a.readerJob(kind, r), r.verifyPrimary)
+		res, done := a.try(ctx, r.member, a.newReadJob(kind, r), r.verifyPrimary)
 		if done {
 			return res, r.member
 		}
@@ -94,7 +94,7 @@
 			progress.gateLacksFloor = true
 			continue
 		}
-		if a.set.isBelievedPrimary(r.member) && overloaded(res.Err) {
+		if a.set.isAssumedPrimary(r.member) && overloaded(res.Err) {
 			progress.primaryOverload = res.Err
 		}
 		if !r.verifyPrimary {
--- a/node/replicaset/dispatch.go
+++ b/node/replicaset/dispatch.go
@@ -20,8 +20,8 @@
 			continue
 		}
 		res := s.remoteRun(ctx, m, address, j)
-		gate, failed := res.gateError()
-		if failed && (!gate.MaybeSent || j.repeatable()) && ctx.Err() == nil && clock.Now() < j.Request.StartDeadline {
+		gateErr, isGateErr := res.gateError()
+		if isGateErr && (!gateErr.JobMayHaveArrived || j.repeatable()) && ctx.Err() == nil && clock.Now() < j.Request.StartDeadline {
 			continue
 		}
 		return res, address
@@ -44,13 +44,13 @@
 	began := clock.Now()
 	m.remoteStarted()
 	s.gateHealth.callStarted(address, began)
-	res := s.runWatched(ctx, address, j)
-	_, failed := res.gateError()
+	res := s.runMonitored(ctx, address, j)
+	_, isGateErr := res.gateError()
 	now := clock.Now()
-	s.gateHealth.callEnded(address, !failed, now)
+	s.gateHealth.callEnded(address, !isGateErr, now)
 	m.remoteEnded(began, now, res.Answer.Signature != "")
-	if res.Err == nil && res.Proof {
-		s.observeProof(m, res.Answer.Position, began)
+	if res.Err == nil && res.ConfirmsPrimary {
+		s.confirmPrimary(m, res.Answer.Position, began)
 	}
 	s.observeRemoteFloor(res.Floor)
 	s.observeResult(m, res)
@@ -62,7 +62,7 @@
 func (s *Set) observeResult(m *Member, res Result) {
 	var refused *RefusedError
 	if errors.As(res.Err, &refused) && refused.MemberDead {
-		m.reportedDead(clock.Now())
+		m.recordReportedDead(clock.Now())
 	}
 	if res.Err != nil {
 		return
--- a/node/replicaset/execute.go
+++ b/node/replicaset/execute.go
@@ -106,7 +106,7 @@
 		return Result{Err: err}
 	}
 	x, err := c.run(j.Request.Statement, floor, j.Request.attemptDeadline(clock.Now()))
-	return Result{Answer: x.answer, Err: err, StatementSent: x.statementSent}
+	return Result{Answer: x.answer, Err: err, StatementMayHaveRun: x.statementMayHaveRun}
 }
 
 // currentFloor returns the floor of a read as of now. The sender's floor is
@@ -143,7 +143,7 @@
 	x, err := runRetryingBusy(ctx, c, req, logpos.Position{})
 	if err != nil {
 		c.member.release(c)
-		return Result{Err: err, StatementSent: x.statementSent}
+		return Result{Err: err, StatementMayHaveRun: x.statementMayHaveRun}
 	}
 	res := s.primaryResult(c, x)
 	go s.rollback(c)
@@ -155,7 +155,7 @@
 	defer c.member.release(c)
 	x, err := runRetryingBusy(ctx, c, req, logpos.Position{})
 	if err != nil {
-		return Result{Err: err, StatementSent: x.statementSent}
+		return Result{Err: err, StatementMayHaveRun: x.statementMayHaveRun}
 	}
 	return s.writeResult(c, x)
 }
@@ -164,7 +164,7 @@
 // result.
 func (s *Set) writeResult(c *Conn, x exchange) Result {
 	res := s.primaryResult(c, x)
-	if res.Proof {
+	if res.ConfirmsPrimary {
 		s.logFirstWrite(c.member, x.answer.Position)
 	}
 	return res
@@ -173,9 +173,9 @@
 // primaryResult turns an answer that only a primary can give into a result and
 // records the proof of leadership.
 func (s *Set) primaryResult(c *Conn, x exchange) Result {
-	res := Result{Answer: x.answer, StatementSent: x.statementSent, Proof: x.answer.Code == statement.OK}
-	if res.Proof {
-		s.observeProof(c.member, x.answer.Position, x.sentAt)
+	res := Result{Answer: x.answer, StatementMayHaveRun: x.statementMayHaveRun, ConfirmsPrimary: x.answer.Code == statement.OK}
+	if res.ConfirmsPrimary {
+		s.confirmPrimary(c.member, x.answer.Position, x.sentAt)
 	}
 	return res
 }
@@ -202,9 +202,9 @@
 		return lostLogResult()
 	}
 	if j.RequirePrimary {
-		s.observeProof(c.member, a.Position, sent)
+		s.confirmPrimary(c.member, a.Position, sent)
 	}
-	return Result{Answer: a, Proof: j.RequirePrimary, Tx: s.txs.add(c, j)}
+	return Result{Answer: a, ConfirmsPrimary: j.RequirePrimary, Tx: s.txs.add(c, j)}
 }
 
 // lostLogResult is the result of a step on a member that restarted without its
@@ -256,9 +256,9 @@
 	x, err := runRetryingBusy(ctx, tx.conn, j.Request, logpos.Position{})
 	if err != nil {
 		s.endTx(tx)
-		return Result{Err: err, StatementSent: x.statementSent}
+		return Result{Err: err, StatementMayHaveRun: x.statementMayHaveRun}
 	}
-	res := Result{Answer: x.answer, StatementSent: x.statementSent}
+	res := Result{Answer: x.answer, StatementMayHaveRun: x.statementMayHaveRun}
 	switch {
 	case tx.onPrimary && j.Kind == JobStatement:
 		res = s.primaryResult(tx.conn, x)
--- a/node/replicaset/floors.go
+++ b/node/replicaset/floors.go
@@ -49,8 +49,8 @@
 // FloorFromAge returns a floor whose age another host reported in response to a
 // request sent at asked. The age was measured after the request was sent, so
 // AsOf is never too late, whatever the latency.
-func FloorFromAge(p logpos.Position, leadership Leadership, age, asked time.Duration) Floor {
-	return Floor{Position: p, AsOf: asked - age, Leadership: leadership}
+func FloorFromAge(p logpos.Position, leadership Leadership, age, sentAt time.Duration) Floor {
+	return Floor{Position: p, AsOf: sentAt - age, Leadership: leadership}
 }
 
 // Floor returns the latest known floor.
--- a/node/replicaset/job.go
+++ b/node/replicaset/job.go
@@ -73,10 +73,10 @@
 	Err error
 	// StatementSent is set once the member may have received the caller's
 	// statement.
-	StatementSent bool
+	StatementMayHaveRun bool
 	// Proof is set when only the primary could have given this answer.
-	Proof bool
-	Tx    uint64
+	ConfirmsPrimary bool
+	Tx              uint64
 	// Waited is the time until a connection was acquired.
 	Waited time.Duration
 	// Floor is the latest floor known to the other host that ran or refused the
@@ -99,8 +99,8 @@
 type GateError struct {
 	Address string
 	// MaybeSent is set if the other host may have received the job.
-	MaybeSent bool
-	Err       error
+	JobMayHaveArrived bool
+	Err               error
 }
 
 func (e *GateError) Error() string { return "host " + e.Address + ": " + e.Err.Error() }
@@ -110,7 +110,7 @@
 // gateError returns the transport failure that is the reason for a missing
 // answer, if any.
 func (r Result) gateError() (*GateError, bool) {
-	var gate *GateError
-	failed := errors.As(r.Err, &gate)
-	return gate, failed
+	var gateErr *GateError
+	isGateErr := errors.As(r.Err, &gateErr)
+	return gateErr, isGateErr
 }
--- a/node/replicaset/liveness.go
+++ b/node/replicaset/liveness.go
@@ -36,7 +36,7 @@
 		s.ProbePort(ctx, m)
 		return
 	}
-	s.RequestStatus(ctx, m)
+	s.RefreshStatus(ctx, m)
 }
 
 // Resumed records that this process was suspended until now. Answers missed
--- a/node/replicaset/member.go
+++ b/node/replicaset/member.go
@@ -38,8 +38,8 @@
 	responseTime time.Duration
 	// workTimes tracks execution times by kind of statement, which is its
 	// database.
-	workTimes worktime.Times
-	removed   bool
+	executionTimes worktime.Times
+	removed        bool
 	// position is the latest known end of the member's log, observed at
 	// positionAt.
 	position   logpos.Position
@@ -57,13 +57,13 @@
 	wrongMemberUntil time.Duration
 	// detours are hosts that can reach the member while this one cannot, valid
 	// until detoursUntil.
-	detours      []string
-	detoursUntil time.Duration
+	alternateHosts      []string
+	alternateHostsUntil time.Duration
 	// reportedDeadUntil is the end of validity of a gate's report that the
 	// member is dead.
 	reportedDeadUntil time.Duration
 	// corroborated is set while another host also considers the member dead.
-	corroborated bool
+	confirmedByPeers bool
 	// openTimer retries opening connections after a backoff; idleTimer closes
 	// expired idle connections. Each is nil while not armed.
 	openTimer *time.Timer
@@ -105,7 +105,7 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return balance.Candidate{
-		ID: m.id, Primary: m.id == primary, RoundTrip: m.set.topology.RoundTrip(m.entry.Zone),
+		ID: m.id, Primary: m.id == primary, RoundTrip: m.set.topology.EstimateRoundTrip(m.entry.Zone),
 		ResponseTime: m.responseTime, InUse: m.pool.InUse() + m.remoteInFlight, Waiting: m.pool.Waiting(),
 		HasIdleConn: m.pool.Idle() > 0 || len(m.share.GateAddresses) > 0,
 		Slots:       m.entry.Slots, Suspect: m.health.Suspect(now), Unregistered: m.entry.Missing,
@@ -135,7 +135,7 @@
 
 // demoted fails the requests that wait for a connection to a former primary, so
 // that they can move to the new one.
-func (m *Member) demoted() {
+func (m *Member) failWaitersOnDemotion() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.refuseWaiters(&RefusedError{Reason: "another member leads now"})
@@ -217,7 +217,7 @@
 }
 
 // keepsConnections reports whether this host is a gate of the member.
-func (m *Member) keepsConnections() bool { return len(m.gateAddresses()) == 0 }
+func (m *Member) isGate() bool { return len(m.gateAddresses()) == 0 }
 
 // remoteStarted and remoteEnded track the statements in progress on other
 // hosts.
--- a/node/replicaset/member_health.go
+++ b/node/replicaset/member_health.go
@@ -16,7 +16,7 @@
 	m.health.ResponseReceived(sent, now)
 	if a.Signature != "" {
 		m.pool.ObserveResponse(now - sent)
-		m.workTimes.Observe(kind, now-sent, now)
+		m.executionTimes.Observe(kind, now-sent, now)
 		m.responseTime += time.Duration(responseTimeSmoothing * float64(now-sent-m.responseTime))
 	}
 }
@@ -75,14 +75,14 @@
 func (m *Member) Dead(now time.Duration) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return now < m.wrongMemberUntil || m.health.Dead(now, m.corroborated)
+	return now < m.wrongMemberUntil || m.health.Dead(now, m.confirmedByPeers)
 }
 
 // SetCorroborated records whether another host considers the member dead.
-func (m *Member) SetCorroborated(corroborated bool) {
+func (m *Member) SetConfirmedByPeers(corroborated bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.corroborated = corroborated
+	m.confirmedByPeers = corroborated
 }
 
 // gateReportTTL is how long a gate's report of a dead member is valid, about
@@ -91,7 +91,7 @@
 
 // reportedDead records that a gate considers the member dead. This only diverts
 // statements: a report to other hosts needs this host's own evidence.
-func (m *Member) reportedDead(now time.Duration) {
+func (m *Member) recordReportedDead(now time.Duration) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.reportedDeadUntil = now + gateReportTTL
@@ -106,8 +106,8 @@
 		return true
 	}
 	switch {
-	case m.health.Dead(now, m.corroborated):
-		return now >= m.detoursUntil
+	case m.health.Dead(now, m.confirmedByPeers):
+		return now >= m.alternateHostsUntil
 	case now < m.reportedDeadUntil:
 		return !m.recentlyReached(now)
 	}
@@ -130,7 +130,7 @@
 func (m *Member) Reachable(now time.Duration) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.recentlyReached(now) && !m.health.Dead(now, m.corroborated)
+	return m.recentlyReached(now) && !m.health.Dead(now, m.confirmedByPeers)
 }
 
 // route returns the hosts to send a team's statement to, in order of
@@ -139,8 +139,8 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	switch {
-	case m.health.Dead(now, m.corroborated) && now < m.detoursUntil:
-		return m.detours
+	case m.health.Dead(now, m.confirmedByPeers) && now < m.alternateHostsUntil:
+		return m.alternateHosts
 	case now < m.reportedDeadUntil && m.recentlyReached(now):
 		return nil
 	case team != "" && m.set.disabled.Enabled(mechanism.TeamGates):
@@ -151,17 +151,17 @@
 
 // detourTTL is how long a detour is valid. It spans several rounds of requests
 // to the other hosts.
-const detourTTL = 500 * time.Millisecond
+const alternateHostsTTL = 500 * time.Millisecond
 
 // SetDetours records which other hosts can reach a member that this one cannot.
-func (s *Set) SetDetours(member string, hosts []string, now time.Duration) {
+func (s *Set) SetAlternateHosts(member string, hosts []string, now time.Duration) {
 	m, known := s.Member(member)
 	if !known || len(hosts) == 0 {
 		return
 	}
 	m.mu.Lock()
-	expired := now >= m.detoursUntil
-	m.detours, m.detoursUntil = hosts, now+detourTTL
+	expired := now >= m.alternateHostsUntil
+	m.alternateHosts, m.alternateHostsUntil = hosts, now+alternateHostsTTL
 	m.mu.Unlock()
 	if expired {
 		eventlog.DetourTaken.Info(m.log).Strs("hosts", hosts).Send()
--- a/node/replicaset/member_pool.go
+++ b/node/replicaset/member_pool.go
@@ -55,7 +55,7 @@
 	m.nextID++
 	w.ID = m.nextID
 	if m.set.disabled.Enabled(mechanism.ShortFirst) {
-		w.ExtraTime = m.workTimes.ExtraTime(w.Kind, now)
+		w.ExtraTime = m.executionTimes.ExtraTime(w.Kind, now)
 	}
 	decision := m.pool.Acquire(*w, now)
 	switch decision.Outcome {
--- a/node/replicaset/watch_gate.go
+++ b/node/replicaset/monitor_gate.go
@@ -14,7 +14,7 @@
 // ping tells them apart. If the gate does not respond, a repeatable job is
 // abandoned, to run elsewhere; a write waits for its answer or until the gate
 // counts as lost.
-func (s *Set) runWatched(ctx context.Context, address string, j Job) Result {
+func (s *Set) runMonitored(ctx context.Context, address string, j Job) Result {
 	if !s.disabled.Enabled(mechanism.GateWatch) {
 		return s.remote.Run(ctx, address, s.service, j)
 	}
@@ -23,7 +23,7 @@
 	}
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	timer := time.AfterFunc(health.GateProbeDelay, func() { s.watchGate(ctx, cancel, address, j.repeatable()) })
+	timer := time.AfterFunc(health.GateProbeDelay, func() { s.monitorGate(ctx, cancel, address, j.repeatable()) })
 	defer timer.Stop()
 	return s.remote.Run(ctx, address, s.service, j)
 }
@@ -31,7 +31,7 @@
 // watchGate pings a host until the context ends. If the host does not respond,
 // it abandons the job when that is allowed, and otherwise closes the
 // connections once the host counts as lost.
-func (s *Set) watchGate(ctx context.Context, abandon context.CancelFunc, address string, mayAbandon bool) {
+func (s *Set) monitorGate(ctx context.Context, abandon context.CancelFunc, address string, mayAbandon bool) {
 	for ctx.Err() == nil {
 		alive := s.gateAlive(ctx, address)
 		switch {
--- a/node/replicaset/watch_gate_test.go
+++ b/node/replicaset/monitor_gate_test.go
@@ -58,7 +58,7 @@
 		f.mu.Lock()
 		f.canceled = errors.Is(ctx.Err(), context.Canceled)
 		f.mu.Unlock()
-		return Result{Err: &GateError{Address: address, MaybeSent: true, Err: ctx.Err()}}
+		return Result{Err: &GateError{Address: address, JobMayHaveArrived: true, Err: ctx.Err()}}
 	}
 }
 
--- a/node/replicaset/pick_reader.go
+++ b/node/replicaset/pick_reader.go
@@ -32,7 +32,7 @@
 		return PrimaryByRoute
 	case r.verifyPrimary:
 		return PrimaryNoFloor
-	case !a.set.isBelievedPrimary(r.member):
+	case !a.set.isAssumedPrimary(r.member):
 		return ByReplica
 	}
 	now := clock.Now()
--- a/node/replicaset/primary.go
+++ b/node/replicaset/primary.go
@@ -23,7 +23,7 @@
 	close(s.primaryChanged)
 	s.primaryChanged = make(chan struct{})
 	if previous, known := s.members[before]; known && current != "" {
-		previous.demoted()
+		previous.failWaitersOnDemotion()
 	}
 	if current == "" {
 		s.requestProbe()
@@ -41,15 +41,15 @@
 
 // observeProof records an exchange, sent at the given time, that only the
 // primary can complete, and the log position it reported.
-func (s *Set) observeProof(m *Member, p logpos.Position, sent time.Duration) {
+func (s *Set) confirmPrimary(m *Member, p logpos.Position, sent time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.observeProofInTerm(m, s.primaryTracker.LeadTerm(m.id, p), p, sent)
+	s.confirmPrimaryInTerm(m, s.primaryTracker.LeadTerm(m.id, p), p, sent)
 }
 
 // observeProofInTerm records that a member has proved its leadership in a term.
 // It is called with mu held.
-func (s *Set) observeProofInTerm(m *Member, term logpos.Term, p logpos.Position, sent time.Duration) {
+func (s *Set) confirmPrimaryInTerm(m *Member, term logpos.Term, p logpos.Position, sent time.Duration) {
 	before := s.primaryTracker.Primary()
 	if s.highWaterMark.Regressed(m.id, term, p, sent) {
 		s.primaryTracker.ObserveDenial(m.id)
@@ -74,7 +74,7 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.observeProofInTerm(m, st.Term, p, sent)
+	s.confirmPrimaryInTerm(m, st.Term, p, sent)
 }
 
 // logFirstWrite logs the first acknowledged write of a term.
@@ -189,7 +189,7 @@
 
 // BelievedPrimary returns the member believed to be the primary, whether or not
 // it is usable.
-func (s *Set) BelievedPrimary() (string, bool) {
+func (s *Set) AssumedPrimary() (string, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	id := s.primaryTracker.Primary()
@@ -197,8 +197,8 @@
 }
 
 // isBelievedPrimary reports whether a member is believed to be the primary.
-func (s *Set) isBelievedPrimary(m *Member) bool {
-	id, found := s.BelievedPrimary()
+func (s *Set) isAssumedPrimary(m *Member) bool {
+	id, found := s.AssumedPrimary()
 	return found && id == m.id
 }
 
--- a/node/replicaset/primary_test.go
+++ b/node/replicaset/primary_test.go
@@ -26,7 +26,7 @@
 	floor, found := s.floor(req, now)
 	require.True(t, found)
 	require.Equal(t, received, floor)
-	id, _ := s.BelievedPrimary()
+	id, _ := s.AssumedPrimary()
 	require.Equal(t, "m", id)
 	require.Equal(t, logpos.Term(2), s.Term())
 }
--- a/node/replicaset/probe.go
+++ b/node/replicaset/probe.go
@@ -32,7 +32,7 @@
 			return
 		case <-s.probeRequested:
 		}
-		for s.probeSuspects(ctx) && clock.Sleep(ctx, probeInterval) {
+		for s.probeIfNeeded(ctx) && clock.Sleep(ctx, probeInterval) {
 		}
 	}
 }
@@ -42,15 +42,15 @@
 func (s *Set) Tick(now time.Duration) {
 	_, known := s.Primary()
 	members := s.Members()
-	anySuspect := !known && len(members) > 0
+	needsProbe := !known && len(members) > 0
 	for _, m := range members {
 		m.closeExpiredIdle(now)
 		if !s.shouldProbe(m) {
 			m.expireEvidence(now)
 		}
-		anySuspect = anySuspect || m.Suspect(now)
+		needsProbe = needsProbe || m.Suspect(now)
 	}
-	if anySuspect {
+	if needsProbe {
 		s.requestProbe()
 	}
 }
@@ -60,23 +60,23 @@
 // connections to a member ask their peers instead: a probe would cost the
 // member a login, and logins from a large fleet would exhaust its slots after a
 // failover.
-func (s *Set) probeSuspects(ctx context.Context) bool {
+func (s *Set) probeIfNeeded(ctx context.Context) bool {
 	now := clock.Now()
 	_, known := s.Primary()
 	if !known {
 		s.requestPeerFloors(now)
 	}
-	anySuspect := false
+	needsProbe := false
 	for _, m := range s.Members() {
 		if known && !m.Suspect(now) || m.inWrongMemberBackoff(now) {
 			continue
 		}
-		anySuspect = true
+		needsProbe = true
 		if s.shouldProbe(m) {
-			s.RequestStatus(ctx, m)
+			s.RefreshStatus(ctx, m)
 		}
 	}
-	return anySuspect
+	return needsProbe
 }
 
 // shouldProbe reports whether this host probes a member: it is a gate of the
@@ -85,12 +85,12 @@
 	s.mu.Lock()
 	votes := s.isVoter && s.primaryTracker.Primary() == m.id
 	s.mu.Unlock()
-	return votes || m.keepsConnections()
+	return votes || m.isGate()
 }
 
 // RequestStatus asks a member for its status in the background. The answer
 // updates the member's health and the primary tracker.
-func (s *Set) RequestStatus(ctx context.Context, m *Member) {
+func (s *Set) RefreshStatus(ctx context.Context, m *Member) {
 	go func() {
 		// A failure is recorded in the member's health.
 		_, _ = s.Status(ctx, m)
--- a/node/replicaset/read.go
+++ b/node/replicaset/read.go
@@ -107,10 +107,10 @@
 }
 
 // readerJob returns the job for the chosen member.
-func (a *attempts) readerJob(kind JobKind, r reader) Job {
+func (a *attempts) newReadJob(kind JobKind, r reader) Job {
 	j := Job{Kind: kind, Request: a.request, RequirePrimary: kind == JobBegin && r.verifyPrimary}
 	if r.verifyPrimary {
-		return a.primaryReadJob(j)
+		return a.newPrimaryReadJob(j)
 	}
 	now := clock.Now()
 	floor, found := a.set.floor(a.request, now)
@@ -118,7 +118,7 @@
 		return j
 	}
 	j.Floor = floor
-	if a.set.isBelievedPrimary(r.member) && a.replicaWillCatchUp(floor, now) {
+	if a.set.isAssumedPrimary(r.member) && a.replicaWillCatchUp(floor, now) {
 		j.Request.StartDeadline = min(j.Request.StartDeadline, max(j.Request.OnTimeUntil, now))
 	}
 	return j
@@ -141,7 +141,7 @@
 func (a *attempts) floorIsFixed(floor logpos.Position) bool { return floor == a.request.LastCommit }
 
 // primaryReadJob returns the job for a primary that must prove its leadership.
-func (a *attempts) primaryReadJob(j Job) Job {
+func (a *attempts) newPrimaryReadJob(j Job) Job {
 	if j.Kind == JobRead {
 		j.Kind = JobPrimaryRead
 	}
--- a/node/replicaset/read_source.go
+++ b/node/replicaset/read_source.go
@@ -5,7 +5,7 @@
 
 const (
 	// NoRead stands for steps other than reads.
-	NoRead ReadSource = iota
+	NotARead ReadSource = iota
 	// ByReplica is a replica.
 	ByReplica
 	// PrimaryByRoute is the primary because the route requires it.
@@ -28,6 +28,6 @@
 func (s ReadSource) String() string { return readSourceNames[s] }
 
 // ReadSources returns all sources of reads.
-func ReadSources() []ReadSource {
+func AllReadSources() []ReadSource {
 	return []ReadSource{ByReplica, PrimaryByRoute, PrimaryNoFloor, PrimaryReplicasLagging, PrimaryReplicasSuspect, PrimaryFaster}
 }
--- a/node/replicaset/run.go
+++ b/node/replicaset/run.go
@@ -14,7 +14,7 @@
 	sentAt time.Duration
 	// statementSent is set once the caller's own statement may have reached the
 	// member, so that without an answer its outcome is unknown.
-	statementSent bool
+	statementMayHaveRun bool
 }
 
 // run sends a caller's statement on a connection that already has the caller's
@@ -46,5 +46,5 @@
 func (c *Conn) send(op statement.Operation, deadline time.Duration) (exchange, error) {
 	sent := clock.Now()
 	a, err := c.Do(op, deadline)
-	return exchange{answer: a, sentAt: sent, statementSent: true}, err
+	return exchange{answer: a, sentAt: sent, statementMayHaveRun: true}, err
 }
--- a/node/replicaset/set.go
+++ b/node/replicaset/set.go
@@ -52,7 +52,7 @@
 )
 
 // RoundTrip estimates the round-trip time to a zone.
-func (p Topology) RoundTrip(zone string) time.Duration {
+func (p Topology) EstimateRoundTrip(zone string) time.Duration {
 	switch {
 	case zone == p.Zone:
 		return sameZoneRTT
--- a/node/replicaset/stats.go
+++ b/node/replicaset/stats.go
@@ -79,7 +79,7 @@
 	defer m.mu.Unlock()
 	return MemberStats{
 		ID: m.id, Address: m.address, Zone: m.entry.Zone, Slots: m.entry.Slots,
-		Leaving: m.entry.Leaving, Failing: m.health.Failing(), Dead: m.health.Dead(now, m.corroborated), Position: m.position, PositionAge: now - m.positionAt,
+		Leaving: m.entry.Leaving, Failing: m.health.Failing(), Dead: m.health.Dead(now, m.confirmedByPeers), Position: m.position, PositionAge: now - m.positionAt,
 		Connections: m.pool.Open(), InUse: m.pool.InUse(), Waiting: m.pool.Waiting(), RemoteInFlight: m.remoteInFlight, Gates: m.share.GateAddresses,
 		ByTeam: m.pool.OpenByTeam(),
 	}
--- a/node/replicaset/write.go
+++ b/node/replicaset/write.go
@@ -26,6 +26,6 @@
 	if r.Err == nil {
 		return false
 	}
-	gate, failed := r.gateError()
-	return r.StatementSent || (failed && gate.MaybeSent)
+	gateErr, isGateErr := r.gateError()
+	return r.StatementMayHaveRun || (isGateErr && gateErr.JobMayHaveArrived)
 }
--- a/node/upstream/conn.go
+++ b/node/upstream/conn.go
@@ -35,16 +35,16 @@
 
 // Conn is a connection that carries one request at a time.
 type Conn struct {
-	target Target
-	conn   net.Conn
-	reader *bufio.Reader
-	pid    uint32
-	secret []byte
-	limit  int
+	target      Target
+	conn        net.Conn
+	reader      *bufio.Reader
+	pid         uint32
+	secret      []byte
+	answerLimit int
 	// dirty is set while an answer is outstanding, and permanently once an answer
 	// was not read in full.
 	dirty bool
-	// inTx is whether the last answer left a transaction open.
+	// inTx is set if the last answer left a transaction open.
 	inTx bool
 }
 
@@ -60,7 +60,7 @@
 	}
 	return &Conn{
 		target: t, conn: h.Conn, reader: bufio.NewReaderSize(h.Conn, readBufferSize),
-		pid: h.PID, secret: h.SecretKey, limit: limit,
+		pid: h.PID, secret: h.SecretKey, answerLimit: limit,
 	}, nil
 }
 
@@ -112,8 +112,8 @@
 		}
 		kind := header[0]
 		size := pgframe.Size(header)
-		if size < pgframe.HeaderSize || len(a.Frames)+size > c.limit {
-			return a, &TooLargeError{Limit: c.limit}
+		if size < pgframe.HeaderSize || len(a.Frames)+size > c.answerLimit {
+			return a, &TooLargeError{Limit: c.answerLimit}
 		}
 		start := len(a.Frames)
 		a.Frames = append(a.Frames, make([]byte, size)...)
--- a/node/upstream/control.go
+++ b/node/upstream/control.go
@@ -37,6 +37,7 @@
 	c.drop()
 }
 
+// drop closes the connection in the background; it needs mu held.
 func (c *Control) drop() {
 	if c.conn == nil {
 		return
@@ -52,8 +53,8 @@
 	}()
 }
 
-// Generation returns the number of the current connection, and false if there is
-// none.
+// Generation returns the number of the current or last connection, and whether
+// it is open.
 func (c *Control) Generation() (uint64, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -93,21 +94,21 @@
 }
 
 // Await implements GroupMember.
-func (c *Control) Await(ctx context.Context, known uint64, limit time.Duration) (group.Status, error) {
-	st, _, err := c.statusQuery(ctx, fmt.Sprintf("SELECT group_await(%d, %d)", known, limit.Milliseconds()))
+func (c *Control) WaitForChange(ctx context.Context, lastChange uint64, timeout time.Duration) (group.Status, error) {
+	st, _, err := c.statusQuery(ctx, fmt.Sprintf("SELECT group_await(%d, %d)", lastChange, timeout.Milliseconds()))
 	return st, err
 }
 
 var _ GroupMember = (*Control)(nil)
 
 // Claim implements GroupMember.
-func (c *Control) Claim(ctx context.Context, term logpos.Term, claimant string) (group.Status, bool, error) {
-	return c.statusQuery(ctx, fmt.Sprintf("SELECT group_claim(%d, %s)", term, Literal(claimant)))
+func (c *Control) RequestTerm(ctx context.Context, term logpos.Term, candidate string) (group.Status, bool, error) {
+	return c.statusQuery(ctx, fmt.Sprintf("SELECT group_claim(%d, %s)", term, Literal(candidate)))
 }
 
 // Promote implements GroupMember.
-func (c *Control) Promote(ctx context.Context, term logpos.Term, claimant string) (group.Status, bool, error) {
-	return c.statusQuery(ctx, fmt.Sprintf("SELECT group_promote(%d, %s)", term, Literal(claimant)))
+func (c *Control) Promote(ctx context.Context, term logpos.Term, candidate string) (group.Status, bool, error) {
+	return c.statusQuery(ctx, fmt.Sprintf("SELECT group_promote(%d, %s)", term, Literal(candidate)))
 }
 
 // Follow implements GroupMember.
--- a/node/upstream/errors.go
+++ b/node/upstream/errors.go
@@ -55,8 +55,8 @@
 	return fmt.Sprintf("answer exceeds the limit of %d bytes", e.Limit)
 }
 
-// RefusedOrReset reports whether err is a refused or reset connection, which
-// proves that the member's machine is up.
+// RefusedOrReset reports whether err is a refused or reset connection. Either
+// shows that the remote machine is up.
 func RefusedOrReset(err error) bool {
 	return errors.Is(err, syscall.ECONNREFUSED) || errors.Is(err, syscall.ECONNRESET)
 }
