--- a/node/edge/caller.go
+++ b/node/edge/caller.go
@@ -42,11 +42,11 @@
 	// transaction is idle.
 	idleInTxSince time.Duration
 
-	// The fields below are accessed by the running worker, or with mu held while
-	// none is running.
+	// Only the running worker accesses the fields below; while none is running, mu
+	// guards them.
 	session *session.Session
-	// credential is the key given at login. team is the team for which the latest
-	// statement was authorized.
+	// credential is the key given at login; team is the team that it belonged to
+	// when it was last checked.
 	credential catalog.Credential
 	team       catalog.Team
 	tx         *replicaset.Tx
@@ -263,8 +263,8 @@
 	s.flushAndClose()
 }
 
-// abortIdleTx rolls back a transaction that is idle between statements. The
-// caller gets the error with its next statement.
+// abortIdleTx rolls back a transaction that is idle between statements. The caller
+// gets an error in answer to its next statement.
 func (s *caller) abortIdleTx(reason string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/node/edge/query.go
+++ b/node/edge/query.go
@@ -18,11 +18,12 @@
 	// executionMargin is the part of a statement timeout reserved for execution:
 	// the queue of a busy member and a round trip between regions.
 	executionMargin = 150 * time.Millisecond
-	// attemptFraction, of the route's target latency, and minAttemptTime bound one
-	// attempt of a read, so that another member can still answer in time if the
-	// answer is lost.
+	// attemptFraction is the fraction of the route's target latency that one
+	// attempt of a read may take, so that another member can still answer in time
+	// if the answer is lost.
 	attemptFraction = 0.5
-	minAttemptTime  = 250 * time.Millisecond
+	// minAttemptTime is the lower bound of that time.
+	minAttemptTime = 250 * time.Millisecond
 )
 
 // handleQuery runs one statement and sends the answer.
@@ -84,8 +85,8 @@
 	return a
 }
 
-// failPossibleCommit is failStatement for a statement that may be a commit, which
-// ends its transaction even if it fails.
+// failPossibleCommit is failStatement for a statement that may be a commit: a failed
+// commit also ends its transaction.
 func (s *caller) failPossibleCommit(st statement.Statement, a statement.Answer) statement.Answer {
 	a = s.failStatement(a)
 	if st.Kind == statement.Commit {
@@ -103,7 +104,7 @@
 	}
 }
 
-// runOnMember runs a statement on a member.
+// runOnMember runs a statement on a member, within the team's rate limit.
 func (s *caller) runOnMember(st statement.Statement, route catalog.Route, receivedAt time.Duration) replicaset.Outcome {
 	req := s.newRequest(st, route, receivedAt)
 	set := s.gateway.backend.AwaitSet(s.ctx, route.Service, req.StartDeadline)
--- a/node/entry/busy_primary_test.go
+++ b/node/entry/busy_primary_test.go
@@ -25,7 +25,7 @@
 	require.Equal(t, "BUSY", c.do("FETCH item").code)
 	primary.RefuseStatements(0)
 	c.must("FETCH item")
-	// The pool may have opened and regularly closed another connection; only
-	// abandoned ones count, and the member detects those with a delay.
+	// Only abandoned connections count, as the pool may also have closed one
+	// regularly. The member detects abandoned ones with a delay.
 	require.Never(t, func() bool { return primary.AbandonedConns() > 0 }, abandonDetectionTime, pollInterval, "a connection was abandoned")
 }
--- a/node/entry/entry.go
+++ b/node/entry/entry.go
@@ -1,6 +1,7 @@
-// Package entry assembles an entry host: the gateway for callers, and a replica
-// set and a promoter for each service. A platform stores the configuration and the
-// members' entries and carries out promotions.
+// Package entry assembles an entry host of the users' platform: the gateway for
+// callers, and a replica set and a promoter for each service. The platform stores
+// the configuration and the members' entries and carries out promotions. Package
+// host is the counterpart for PostgreSQL callers with a key-value platform.
 package entry
 
 import (
@@ -58,14 +59,15 @@
 	Workers     int
 	// GracePeriod is the time from the stop signal until the process is killed.
 	GracePeriod time.Duration
-	// DrainBound bounds the time during which a member that has announced its
-	// drain may still be sent new work.
+	// DrainTimeout is how long a leaving member may be sent new work after it has
+	// announced its shutdown.
 	DrainTimeout time.Duration
-	// ConfigBound is the time within which a configuration change must be active.
+	// MaxConfigApplyTime is the time within which a configuration change must be
+	// active.
 	MaxConfigApplyTime time.Duration
 	// QuotaTolerance is by how much teams may exceed their limits.
 	QuotaTolerance quota.Tolerance
-	// Disabled lists the mechanisms that are switched off.
+	// Disabled lists the mechanisms that are disabled.
 	Disabled mechanism.Disabled
 }
 
@@ -94,13 +96,13 @@
 	// owner identifies this host and its incarnation to gates.
 	owner    string
 	stopping atomic.Bool
-	// remoteJobs counts the running jobs of other hosts.
+	// remoteJobCount counts the running jobs of other hosts.
 	remoteJobCount atomic.Int64
 	reconcileWake  chan struct{}
 	failed         chan error
 	// fleet is the list of hosts last passed to the sets. fleetStability decides
-	// whether a starting host has a stable view of the fleet, and fleetWasStable
-	// records that it had. Only reconcile accesses these fields.
+	// whether a starting host has a stable view of the fleet; fleetWasStable is set
+	// once it had one. Only reconcile accesses these fields.
 	fleet          gates.Fleet
 	fleetStability startup.FleetStability
 	fleetWasStable bool
@@ -244,7 +246,7 @@
 // Catalog implements edge.Backend.
 func (h *Host) Catalog() *catalog.Catalog { return h.registry.Catalog() }
 
-// Set returns the replica set of a service, or nil if none is known.
+// Set returns the replica set of a service, or nil if there is none.
 func (h *Host) Set(service string) *replicaset.Set {
 	h.mu.RLock()
 	defer h.mu.RUnlock()
--- a/node/entry/failures_test.go
+++ b/node/entry/failures_test.go
@@ -159,7 +159,7 @@
 	d.platform.Store.Compact()
 	d.platform.Store.SetWatchesBlocked(false)
 	require.Eventually(t, func() bool { return d.hosts[0].Catalog().Version == version }, waitLimit, pollInterval)
-	// Well below the watch timeout of 30 s, with room for a slow machine.
+	// Well below the watch's full timeout of 30 s.
 	require.Less(t, time.Since(startedAt), 15*time.Second)
 }
 
--- a/node/entry/helpers_test.go
+++ b/node/entry/helpers_test.go
@@ -21,8 +21,7 @@
 )
 
 const (
-	// waitLimit bounds waits for expected conditions. It is generous to avoid
-	// failures on a busy machine.
+	// waitLimit bounds waits for expected conditions, with room for a slow machine.
 	waitLimit    = 20 * time.Second
 	pollInterval = 5 * time.Millisecond
 	// timeout is the routes' statement timeout in these tests.
--- a/node/entry/limits.go
+++ b/node/entry/limits.go
@@ -32,7 +32,8 @@
 	return t.Limit, found
 }
 
-// requestGrant requests operations from a host that counts a team's usage.
+// requestGrant requests quota for a team's operations from a host that counts the
+// team's usage.
 func (h *Host) requestGrant(ctx context.Context, address, team string, wanted int) (quota.Grant, bool) {
 	h.traffic.add(trafficQuota)
 	answer, err := h.peers.Probe(ctx, address, gossip.Message{QuotaRequest: &gossip.QuotaRequest{Team: team, Operations: wanted}})
--- a/node/entry/lock_holder_test.go
+++ b/node/entry/lock_holder_test.go
@@ -63,7 +63,7 @@
 }
 
 // TestFailoverWithSilentStoreIsPrompt: the store goes silent just before the primary
-// is lost. The hosts must find the new primary although the store still seems
+// crashes. The hosts must find the new primary although the store still seems
 // reachable and the new primary reports a position of the previous term.
 func TestFailoverWithSilentStoreIsPrompt(t *testing.T) {
 	d := deploy(t, 3, options())
--- a/node/entry/metrics.go
+++ b/node/entry/metrics.go
@@ -27,8 +27,8 @@
 
 func (m *hostMetrics) handler() http.Handler { return m.metrics.Handler() }
 
-// observe records a finished statement, labelled by team, or by database if the
-// caller has no team.
+// observe records a finished statement. Its label is the team, or the database if
+// the caller has no team.
 func (m *hostMetrics) observe(r edge.Record) {
 	o := r.Outcome
 	label := r.Team
--- a/node/entry/outage_test.go
+++ b/node/entry/outage_test.go
@@ -28,7 +28,7 @@
 	require.Eventually(d.t, func() bool {
 		return len(d.platform.Store.Keys("dotterelswitch/locks/")) == 1
 	}, waitLimit, pollInterval)
-	// Allow the holder to learn that it holds the lock.
+	// Wait until the holder knows that it holds the lock.
 	time.Sleep(200 * time.Millisecond)
 }
 
--- a/node/entry/peers.go
+++ b/node/entry/peers.go
@@ -22,9 +22,7 @@
 	// datagramKey identifies datagrams of this system. It is not a secret: the
 	// platform issues none to hosts and isolates their network.
 	datagramKey = "dotterelswitch"
-	// floorQueryFanOut is the number of hosts queried for a floor: the primary's
-	// gates first, then other hosts, which may have a recent answer from the
-	// primary.
+	// floorQueryFanOut is the number of hosts queried for a floor.
 	floorQueryFanOut = 4
 	// peerQueryTimeout bounds the wait for an answer from another host.
 	peerQueryTimeout = 300 * time.Millisecond
@@ -134,7 +132,8 @@
 }
 
 // floorPeers returns the addresses of the hosts to query for a floor: the primary's
-// gates first, then random others.
+// gates first, then random others, which may have had a recent answer from the
+// primary.
 func (h *Host) floorPeers(service string) []string {
 	var addresses []string
 	if s := h.Set(service); s != nil {
--- a/node/entry/probes_test.go
+++ b/node/entry/probes_test.go
@@ -23,8 +23,8 @@
 	time.Sleep(2 * time.Second)
 	before := d.logins()
 	time.Sleep(2 * time.Second)
-	// The surveys of the refused promotions make about 40 attempts in this time;
-	// probes by the whole fleet would make about 170.
+	// The surveys of the refused promotions need about 40 logins in this time;
+	// probes by the whole fleet would need about 170.
 	require.Less(t, d.logins()-before, 80)
 }
 
--- a/node/entry/promotion_peers.go
+++ b/node/entry/promotion_peers.go
@@ -8,7 +8,7 @@
 	"github.com/dotterelswitch/dotterelswitch/node/gossip"
 )
 
-// opinion answers another host's question whether a primary is lost.
+// peerReport answers another host's question whether a primary is dead.
 func (h *Host) peerReport(q gossip.LostQuestion) *gossip.Opinion {
 	p := h.promoter(q.Service)
 	if p == nil {
@@ -21,7 +21,7 @@
 // AddressOf implements promoter.Peers.
 func (h *Host) AddressOf(host string) (string, bool) { return h.registry.AddressOf(host) }
 
-// Opinion implements promoter.Peers.
+// RequestPeerReport implements promoter.Peers.
 func (h *Host) RequestPeerReport(ctx context.Context, service, primary, host string) (succession.Opinion, bool) {
 	address, known := h.registry.AddressOf(host)
 	if !known {
@@ -31,7 +31,7 @@
 	answer, err := h.peers.Probe(ctx, address, gossip.Message{AskLost: &gossip.LostQuestion{Service: service, Upstream: primary}})
 	if err != nil || answer.Opinion == nil {
 		// A host that does not answer has no vote; the promoter asks again.
-		h.log.Debug().Err(err).Str("peer", host).Msg("opinion request failed")
+		h.log.Debug().Err(err).Str("peer", host).Msg("peer report request failed")
 		return succession.Opinion{}, false
 	}
 	o := answer.Opinion
--- a/node/entry/restored_store_test.go
+++ b/node/entry/restored_store_test.go
@@ -10,9 +10,11 @@
 )
 
 const (
-	// outageTime is how long the store is unavailable before it returns with a
-	// backup, and rewriteAfter is when operators and members write again.
-	outageTime   = 200 * time.Millisecond
+	// outageTime is how long the store is unavailable before the backup is
+	// restored.
+	outageTime = 200 * time.Millisecond
+	// rewriteAfter is the delay after which operators and members write their
+	// entries again.
 	rewriteAfter = 1500 * time.Millisecond
 )
 
--- a/node/entry/show_teams.go
+++ b/node/entry/show_teams.go
@@ -8,7 +8,7 @@
 	"github.com/dotterelswitch/dotterelswitch/node/inspect/inspectpb"
 )
 
-// maxTeamsListed bounds the teams in a response; a host may serve thousands.
+// maxTeamsListed bounds the teams in a response, as a host may serve thousands.
 const maxTeamsListed = 20
 
 // showTeams returns the busiest teams and the number of omitted ones.
--- a/node/entry/show_test.go
+++ b/node/entry/show_test.go
@@ -51,7 +51,7 @@
 	old := d.group.Primary().ID
 	d.group.Primary().Crash()
 	require.Eventually(t, func() bool {
-		// The loss of a primary is detected by traffic only.
+		// A failed primary is detected by statements only.
 		c.do("FETCH item")
 		svc := d.show(0).Services[0]
 		return svc.Primary != old && upstream(svc, old).Failing
--- a/node/entry/startup.go
+++ b/node/entry/startup.go
@@ -42,8 +42,8 @@
 }
 
 // fleetStable reports whether the view of the fleet is stable enough to divide the
-// members' connections among the hosts. Until then statements wait for their set,
-// and reconcile is scheduled for the expected time of stability.
+// members' connections among the hosts. If it is not, it schedules a reconciliation
+// for the time at which it should be; statements wait for their set until then.
 func (h *Host) fleetStable(hosts []gates.Host) bool {
 	if h.fleetWasStable || !h.settings.Disabled.Enabled(mechanism.FleetWait) {
 		return true
--- a/node/entry/stop.go
+++ b/node/entry/stop.go
@@ -8,14 +8,14 @@
 	"github.com/dotterelswitch/dotterelswitch/node/eventlog"
 )
 
-// The phases of a stop, as fractions of the grace period.
+// The ends of the phases of a stop, as fractions of the grace period.
 const (
-	// noticeFraction is how long the host keeps serving while it fails readiness
-	// checks, until the platform sends no new callers.
+	// noticeFraction ends the phase in which the host serves normally but fails
+	// readiness checks, so that the platform stops sending new callers.
 	noticeFraction = 0.4
-	// abortFraction is when idle transactions are rolled back.
+	// abortFraction is when transactions that are idle are rolled back.
 	abortFraction = 0.55
-	// drainFraction is when the remaining sessions are closed.
+	// drainFraction is when the sessions that are left are closed.
 	drainFraction = 0.85
 )
 
@@ -85,8 +85,8 @@
 // closeTimeout bounds the shutdown of each component.
 const closeTimeout = 300 * time.Millisecond
 
-// shutDownServers lets responses to other hosts complete: a commit whose response
-// is lost would be in doubt there.
+// shutDownServers stops the servers after the running responses have completed: a
+// commit whose response is lost would be in doubt at the host that requested it.
 func (h *Host) shutDownServers() {
 	ctx, cancel := context.WithTimeout(context.Background(), closeTimeout)
 	defer cancel()
--- a/node/entry/traffic.go
+++ b/node/entry/traffic.go
@@ -15,7 +15,7 @@
 const trafficLogInterval = 5 * time.Second
 
 // The purposes of datagrams to other hosts, and the prefix for calls to the store,
-// which are counted by name and result.
+// which are counted by name and result. The texts are part of the log format.
 const (
 	trafficFloor        = "datagram floor"
 	trafficPeerReport   = "datagram opinion"
--- a/node/gateway/batch.go
+++ b/node/gateway/batch.go
@@ -27,14 +27,20 @@
 	// hideParseComplete has an entry for each Parse sent, true if its
 	// ParseComplete is to be removed from the answer.
 	hideParseComplete []bool
-	unnamed           string
-	hasUnnamed        bool
-	kind              classify.Kind
-	// hasExecute reports whether the batch contains an Execute.
+	// unnamed is the caller's name of the statement that the upstream connection
+	// has as its unnamed one, if hasUnnamed is set.
+	unnamed    string
+	hasUnnamed bool
+	// kind is the combined kind of the executed statements.
+	kind classify.Kind
+	// hasExecute is set if the batch contains an Execute.
 	hasExecute bool
-	statement  classify.Statement
-	portals    map[string]classify.Statement
-	refusal    *outcome.Refusal
+	// statement is the first executed statement, or the last prepared or described
+	// one if none is executed.
+	statement classify.Statement
+	portals   map[string]classify.Statement
+	// refusal is the reason why the batch is not run; nil if there is none.
+	refusal *outcome.Refusal
 }
 
 // add appends one message. A returned refusal ends the connection; a refusal
--- a/node/gateway/handle.go
+++ b/node/gateway/handle.go
@@ -35,8 +35,8 @@
 		s.handleSync()
 		return true
 	case 'H':
-		// Flush is ignored: answering before Sync would require holding an
-		// upstream connection between messages.
+		// Flush is ignored: answering before Sync would tie up an upstream
+		// connection between messages.
 		return true
 	default:
 		s.write(fatalMessage(outcome.Refuse(outcome.ProtocolViolation, "message type %q is out of order here", fr.msgType)))
--- a/node/gateway/session.go
+++ b/node/gateway/session.go
@@ -34,19 +34,23 @@
 	pid         uint32
 	secret      uint32
 	started     atomic.Bool
-	// credential is the key given at login; awaitingPassword is set after it was
-	// requested. Only the running worker accesses them.
+	// credential is the key given at login; awaitingPassword is set from the
+	// request for it to its arrival. Only the running worker accesses them.
 	credential       catalog.Credential
 	awaitingPassword bool
-	ctx              context.Context
-	cancel           context.CancelFunc
-	framer           framer
+	// ctx is cancelled when the caller disconnects.
+	ctx    context.Context
+	cancel context.CancelFunc
+	// framer is accessed by the event loop only.
+	framer framer
 
 	// mu guards the fields below.
-	mu        sync.Mutex
-	inbox     []frame
+	mu    sync.Mutex
+	inbox []frame
+	// scheduled is set while a worker runs or is about to run.
 	scheduled bool
 	closed    bool
+	// cancelRun cancels the running request.
 	cancelRun context.CancelFunc
 
 	// Only the running worker accesses the fields below.
@@ -161,8 +165,7 @@
 	go s.releasePinnedTx()
 }
 
-// releasePinnedTx rolls back the open transaction, after the worker has finished
-// any statement in it.
+// releasePinnedTx rolls back the open transaction once no worker is running.
 func (s *session) releasePinnedTx() {
 	const pollInterval = 5 * time.Millisecond
 	for {
--- a/node/host/config_sync.go
+++ b/node/host/config_sync.go
@@ -22,11 +22,12 @@
 	watchTimeout = 30 * time.Second
 	// listInterval is the base interval at which a relay reads host lists.
 	listInterval = 30 * time.Second
-	// hostsPerExtraInterval lengthens the interval by listInterval for every so
-	// many hosts, because the lists grow with the fleet. otherZonesPerRead is
-	// the number of other zones whose lists are read each time.
+	// hostsPerExtraInterval is the number of hosts for which the interval grows by
+	// another listInterval, because the lists grow with the fleet.
 	hostsPerExtraInterval = 100
-	otherZonesPerRead     = 3
+	// otherZonesPerRead is the number of other zones whose lists are read each
+	// time.
+	otherZonesPerRead = 3
 	// initialListReads is the number of times that every host reads host lists
 	// after its start, at initialListInterval.
 	initialListReads    = 3
@@ -49,8 +50,8 @@
 	return false
 }
 
-// watchConfig reads the log of changes once at the start and then follows it
-// while this host is a relay.
+// watchConfig reads the log of configuration changes once at the start and then
+// follows it while this host is a relay.
 func (h *Host) watchConfig(ctx context.Context) {
 	var index uint64
 	for ctx.Err() == nil {
@@ -74,8 +75,9 @@
 	}
 }
 
-// catchUp applies the log up to its head, starting from the snapshot if the
-// changes before it may have been trimmed.
+// catchUp applies the log of changes up to its head. If this host's version is
+// older than the snapshot, it starts from the snapshot, because older changes may
+// have been trimmed.
 func (h *Host) catchUp(ctx context.Context, head confstore.Head) error {
 	for {
 		current := h.fleet.Config().Version
--- a/node/host/events.go
+++ b/node/host/events.go
@@ -9,7 +9,7 @@
 )
 
 // prepareLeadTime is how long before the start of an event its connections are
-// opened. It exceeds the time that opening all of them takes.
+// opened. It must exceed the time that opening all of them takes.
 const prepareLeadTime = time.Minute
 
 // prepareEvents opens connections for events that start within prepareLeadTime,
--- a/node/host/gossip.go
+++ b/node/host/gossip.go
@@ -48,9 +48,8 @@
 	h.mergeMessage(answer)
 }
 
-// buildMessage returns the gossip message for a host. If that host is not
-// considered alive here, the message includes its state, so that it can refute
-// it.
+// buildMessage returns the gossip message for a host. If this host does not consider
+// that host alive, the message says so, and that host can refute it.
 func (h *Host) buildMessage(target membership.Host) gossip.Message {
 	m := gossip.Message{ConfigVersion: h.fleet.Config().Version}
 	h.fleet.updateRoster(func(r *membership.Roster, _ time.Duration) {
--- a/node/host/host.go
+++ b/node/host/host.go
@@ -1,6 +1,7 @@
-// Package host assembles an entry host from its components: the gateway for
-// callers, the router, the pools of the members it owns, gossip, and the
-// synchronization of the configuration.
+// Package host assembles an entry host for PostgreSQL callers with a key-value
+// platform: the gateway for callers, the router, the pools of the members it owns,
+// gossip, and the synchronization of the configuration. Package entry is the
+// counterpart for the users' platform.
 package host
 
 import (
@@ -71,8 +72,8 @@
 	wg           sync.WaitGroup
 	platformDown atomic.Bool
 	gatewayDone  chan error
-	// failedPeers holds the sender names of the dead hosts whose calls were
-	// failed. Only the reconcile goroutine uses it.
+	// failedPeers holds the sender names of the dead hosts whose pending calls
+	// were cancelled. Only the reconcile goroutine uses it.
 	failedPeers map[string]bool
 	// preparedEvents holds the events whose connections were opened. Only the
 	// reconcile goroutine uses it.
@@ -178,7 +179,7 @@
 	}
 }
 
-// reconcileInterval is the interval between reconciliations without a change.
+// reconcileInterval is the maximum interval between reconciliations.
 const reconcileInterval = time.Second
 
 // reconcile adjusts the pools to the hosts and the configuration.
@@ -200,7 +201,7 @@
 	}
 }
 
-// failCalls fails the pending calls to hosts that were newly declared dead.
+// failCalls cancels the pending calls to hosts that were newly declared dead.
 func (h *Host) failCalls(dead []membership.Host) {
 	deadNames := make(map[string]bool, len(dead))
 	for _, deadHost := range dead {
--- a/node/host/stop.go
+++ b/node/host/stop.go
@@ -14,8 +14,8 @@
 const leaveGracePeriod = 500 * time.Millisecond
 
 // Stop shuts the host down gracefully: it announces to peers and platform that it
-// leaves, closes callers' connections as they become idle, hands over its pools,
-// and stops. Work that is still running when ctx is done is aborted; Stop reports
+// leaves, closes callers' connections as they become idle, releases its pools, and
+// stops. Work that is still running when ctx is done is aborted; Stop reports
 // whether all callers' connections were drained before.
 func (h *Host) Stop(ctx context.Context) bool {
 	eventlog.Stopping.Info(h.log).Send()
--- a/node/peer/client.go
+++ b/node/peer/client.go
@@ -1,4 +1,6 @@
-// Package peer implements the RPCs between hosts with connect-go over HTTP/2.
+// Package peer implements the RPCs between hosts with connect-go over HTTP/2. The
+// Peer service connects hosts with PostgreSQL callers; the Gate service connects
+// hosts of the users' platform.
 package peer
 
 import (
@@ -17,9 +19,9 @@
 )
 
 const (
-	// pingAfter and pingTimeout detect dead connections that membership has not
-	// noticed. They are long because a host keeps idle connections to many
-	// others.
+	// pingAfter and pingTimeout detect dead connections to hosts that gossip still
+	// considers alive. Pings are rare because a host keeps idle connections to
+	// many others.
 	pingAfter   = 15 * time.Second
 	pingTimeout = 2 * time.Second
 	dialTimeout = 500 * time.Millisecond
@@ -31,7 +33,7 @@
 // CallError reports a call without an answer.
 type CallError struct {
 	Address string
-	// Sent reports whether the call may have reached the other host.
+	// Sent is set if the call may have reached the other host.
 	Sent bool
 	Err  error
 }
--- a/node/peer/compression_test.go
+++ b/node/peer/compression_test.go
@@ -72,8 +72,8 @@
 	return resp.Header.Get("Content-Encoding")
 }
 
-// Compression costs more than it saves on a statement's small answer, while
-// listings of the store are large.
+// Guards against compressing small answers, which costs more than it saves, and
+// against sending large listings of the store uncompressed.
 func TestOnlyLargeAnswersAreCompressed(t *testing.T) {
 	address := serveGate(t)
 	require.Empty(t, encodingOf(t, address, peerpbconnect.GateRunProcedure, &peerpb.JobRequest{Service: "svc"}))
--- a/node/peer/gate_client.go
+++ b/node/peer/gate_client.go
@@ -19,14 +19,13 @@
 
 const (
 	// gatePingAfter and gatePingTimeout detect dead connections that are idle;
-	// Drop closes those with waiting statements sooner. The interval is long
-	// because hosts keep idle connections to most others of a large fleet.
+	// Drop closes those with waiting statements sooner. Pings are rare because
+	// hosts keep idle connections to most others of a large fleet.
 	gatePingAfter   = 10 * time.Second
 	gatePingTimeout = time.Second
-	// gateDialTimeout bounds the dial to a gate, which a caller waits for. It
-	// covers a few round trips between distant regions. It is short enough that
-	// all gates of a member can be tried and time is left for a direct connection
-	// during a partition.
+	// gateDialTimeout bounds the dial to a gate while a caller waits. It covers a
+	// few round trips between distant regions and leaves time to try all gates of
+	// a member and then a direct connection during a partition.
 	gateDialTimeout = 120 * time.Millisecond
 	// responseSlack is the time added to a statement's deadline for the
 	// response's way back between regions.
@@ -50,7 +49,7 @@
 // gateConn is a client's state for one gate.
 type gateConn struct {
 	client peerpbconnect.GateClient
-	// attached is whether an Attach stream is open or being opened.
+	// attached is set while an Attach stream is open or being opened.
 	attached bool
 }
 
@@ -97,8 +96,8 @@
 	return resultFromProto(resp.Msg, sentAt)
 }
 
-// attach keeps an Attach stream open, whose end tells the gate that this host is
-// gone.
+// attach keeps an Attach stream open. When the stream ends, the gate rolls back the
+// transactions of this host.
 func (c *GateClient) attach(g *gateConn) {
 	c.mu.Lock()
 	attached := g.attached
--- a/node/peer/gate_convert_test.go
+++ b/node/peer/gate_convert_test.go
@@ -10,9 +10,9 @@
 	"github.com/dotterelswitch/dotterelswitch/node/replicaset"
 )
 
-// However long the answer took, the decoded floor must not cover more recent
-// commits than the encoded one.
-func TestFloorIsNotRejuvenatedInTransit(t *testing.T) {
+// Guards against a floor that, after a slow answer, claims to cover more recent
+// commits than it did when it was sent.
+func TestFloorAgeIsNotUnderstatedInTransit(t *testing.T) {
 	const asked, sent, arrived = 10 * time.Second, 11 * time.Second, 12 * time.Second
 	f := replicaset.Floor{Position: logpos.Position{Term: 3, Offset: 7}, AsOf: sent - 400*time.Millisecond, Leadership: replicaset.Leadership{Primary: "m", Term: 4}}
 	got := floorFromProto(floorToProto(f, sent), asked)
--- a/node/peer/gate_dial_test.go
+++ b/node/peer/gate_dial_test.go
@@ -17,7 +17,7 @@
 // makes all gates of a member unreachable. A statement that was not sent may be
 // retried elsewhere.
 func TestUnreachableGatesLeaveTimeForDirectConnection(t *testing.T) {
-	// objective is a typical latency objective of callers.
+	// objective is a typical target latency of callers.
 	const objective = 500 * time.Millisecond
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
--- a/node/promoter/ask.go
+++ b/node/promoter/ask.go
@@ -28,7 +28,7 @@
 // to take over. A host that does not suspect the primary itself and was only
 // asked about it asks no others unless it holds the lock; otherwise questions
 // would circulate endlessly.
-func (p *Promoter) requestPeerReports(ctx context.Context, now time.Duration, suspected, lost bool) {
+func (p *Promoter) requestPeerReports(ctx context.Context, now time.Duration, suspected, dead bool) {
 	incarnation := p.currentPrimary()
 	lock := p.registry.LockOf(p.service)
 	if lock.Holder == p.host {
@@ -38,7 +38,7 @@
 	if lock.Holder != "" && suspected {
 		p.requestPeerReportsFrom(ctx, now, incarnation, []string{lock.Holder})
 	}
-	if lost && (lock.Holder == "" || now >= p.takeoverPreparationStart()) {
+	if dead && (lock.Holder == "" || now >= p.takeoverPreparationStart()) {
 		p.requestPeerReportsFrom(ctx, now, incarnation, p.voters())
 	}
 }
@@ -48,7 +48,7 @@
 func (p *Promoter) takeoverPreparationStart() time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return max(p.lostSince, p.leaderSeenAt) + succession.TakeoverDelay - peerReportTimeout
+	return max(p.deadSince, p.leaderSeenAt) + succession.TakeoverDelay - peerReportTimeout
 }
 
 // currentPrimary returns the incarnation of the primary that this host knows, or
@@ -101,7 +101,7 @@
 	p.mu.Unlock()
 	report := succession.Opinion{
 		Host: p.host, StoreReached: !p.registry.StoreUnreachable(), Lock: p.registry.LockOf(p.service).Token(),
-		Dead: p.hasLost(incarnation, now) && !p.wasSuspended(now), Reaches: p.reaches(incarnation, now), Leading: p.leading.Load(),
+		Dead: p.considersDead(incarnation, now) && !p.wasSuspended(now), Reaches: p.reaches(incarnation, now), Leading: p.leading.Load(),
 	}
 	if !report.Dead {
 		p.Wake()
@@ -126,8 +126,8 @@
 	return nil, false
 }
 
-// hasLost reports whether this host considers a primary dead.
-func (p *Promoter) hasLost(incarnation string, now time.Duration) bool {
+// considersDead reports whether this host considers a primary dead.
+func (p *Promoter) considersDead(incarnation string, now time.Duration) bool {
 	if incarnation == noPrimary {
 		_, found := p.set.AssumedPrimary()
 		return !found
--- a/node/promoter/collect_reports_test.go
+++ b/node/promoter/collect_reports_test.go
@@ -18,7 +18,7 @@
 	}()
 }
 
-// Guards against a failover that waits for the full order timeout of an
+// Guards against a failover that waits for the full operation timeout of an
 // unreachable replica.
 func TestSurveyDoesNotWaitForUnreachableReplica(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
@@ -43,8 +43,8 @@
 	})
 }
 
-// With synchronous replicas, the slow replica may hold acknowledged commits that
-// the other one lacks.
+// Guards against promoting a replica that lacks acknowledged commits: with
+// synchronous replicas, only the slow one may have them.
 func TestSurveyWaitsForAllWithSynchronousReplicas(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		results := make(chan controlResult, 2)
--- a/node/promoter/evidence.go
+++ b/node/promoter/evidence.go
@@ -23,9 +23,10 @@
 	return last > 0 && now-last > suspensionThreshold
 }
 
-// failedPrimary returns the primary that this host considers dead, noPrimary for
-// a group without a primary, or the empty string.
-func (p *Promoter) failedPrimary(now time.Duration) string {
+// findDeadPrimary returns the ID of the primary if this host considers it dead,
+// noPrimary if the group has had no primary for noPrimaryTimeout, and otherwise the
+// empty string.
+func (p *Promoter) findDeadPrimary(now time.Duration) string {
 	id, found := p.set.AssumedPrimary()
 	if !found {
 		if len(p.set.Members()) == 0 {
@@ -47,18 +48,18 @@
 	return ""
 }
 
-// recordLoss records which primary this host considers dead, for other hosts and
+// recordDeadPrimary records which primary this host considers dead, for other hosts and
 // the store.
-func (p *Promoter) recordLoss(failed string, now time.Duration) {
-	incarnation := p.incarnationOf(failed)
+func (p *Promoter) recordDeadPrimary(id string, now time.Duration) {
+	incarnation := p.incarnationOf(id)
 	p.mu.Lock()
-	changed := incarnation != p.lostPrimary
+	changed := incarnation != p.deadIncarnation
 	if changed {
-		p.lostPrimary, p.lostSince = incarnation, now
+		p.deadIncarnation, p.deadSince = incarnation, now
 	}
 	p.mu.Unlock()
 	if changed && incarnation != "" {
-		eventlog.PrimaryBelievedDead.Info(p.log).Str("upstream", failed).Dur("alive_ms_ago", p.sinceLastAlive(failed, now)).Send()
+		eventlog.PrimaryBelievedDead.Info(p.log).Str("upstream", id).Dur("alive_ms_ago", p.sinceLastAlive(id, now)).Send()
 	}
 }
 
@@ -121,8 +122,8 @@
 	if !known {
 		return
 	}
-	others := slices.DeleteFunc(p.suspectingHosts(m.Incarnation(), now), func(host string) bool { return host == p.host })
-	m.SetConfirmedByPeers(len(others) > 0)
+	otherHosts := slices.DeleteFunc(p.suspectingHosts(m.Incarnation(), now), func(host string) bool { return host == p.host })
+	m.SetConfirmedByPeers(len(otherHosts) > 0)
 }
 
 // suspectingHosts returns the hosts that have reported a primary as dead,
@@ -142,9 +143,10 @@
 	return hosts
 }
 
-// lossAgreed reports whether a majority of the voters considers the primary dead.
-func (p *Promoter) lossAgreed(failed string, now time.Duration) bool {
-	suspecting := p.suspectingHosts(p.incarnationOf(failed), now)
+// majorityConsidersDead reports whether a majority of the voters considers the
+// primary dead.
+func (p *Promoter) majorityConsidersDead(id string, now time.Duration) bool {
+	suspecting := p.suspectingHosts(p.incarnationOf(id), now)
 	if !slices.Contains(suspecting, p.host) {
 		suspecting = append(suspecting, p.host)
 	}
--- a/node/promoter/lead.go
+++ b/node/promoter/lead.go
@@ -12,9 +12,9 @@
 )
 
 // tryPromotion runs a promotion if this host holds the lock. Otherwise it first
-// takes the lock, after this host's takeover delay. failed is the dead primary to
-// replace; empty for a planned switchover.
-func (p *Promoter) tryPromotion(ctx context.Context, now time.Duration, failed string, promote func(context.Context, uint64) error) {
+// takes the lock, after this host's takeover delay. deadPrimary is the
+// primary to replace; empty for a planned switchover.
+func (p *Promoter) tryPromotion(ctx context.Context, now time.Duration, deadPrimary string, promote func(context.Context, uint64) error) {
 	if p.readySince == 0 {
 		p.readySince = now
 	}
@@ -29,7 +29,7 @@
 	p.leading.Store(mayLead)
 	switch {
 	case mayLead:
-		eventlog.PrimaryLossAgreed.Info(p.log).Str("upstream", failed).Uint64("token", lock.Token()).
+		eventlog.PrimaryLossAgreed.Info(p.log).Str("upstream", deadPrimary).Uint64("token", lock.Token()).
 			Bool("store_away", storeUnreachable).Int("opinions", len(peerReports)).Send()
 		p.runPromotion(ctx, lock.Token(), promote)
 	case !backingOff && !storeUnreachable && now >= p.earliestTakeover(lock):
--- a/node/promoter/promoter.go
+++ b/node/promoter/promoter.go
@@ -119,10 +119,10 @@
 
 	// mu guards the fields below. No other lock is acquired while it is held.
 	mu sync.Mutex
-	// lostPrimary is the incarnation of the primary that this host considers
-	// dead; empty for none. lostSince is when it became so.
-	lostPrimary string
-	lostSince   time.Duration
+	// deadIncarnation is the incarnation of the primary that this host considers
+	// dead; empty for none.
+	deadIncarnation string
+	deadSince       time.Duration
 	// suspectedByPeerUntil is until when the primary is checked because another
 	// host has asked about it.
 	suspectedByPeerUntil time.Duration
@@ -230,9 +230,9 @@
 
 // assessment is this host's view of the primary's health.
 type assessment struct {
-	// failed is the ID of the primary that this host considers dead; empty for
-	// none.
-	failed string
+	// deadPrimary is the ID of the primary that this host considers dead; empty
+	// for none.
+	deadPrimary string
 	// draining is set if a switchover of the primary is due, suspected if the
 	// primary may be dead, and suspectedByPeer if another host has asked about it.
 	draining, suspected, suspectedByPeer bool
@@ -247,10 +247,10 @@
 	}
 	p.lastCheck.Store(int64(now))
 	p.updatePeerConfirmation(now)
-	a := assessment{failed: p.failedPrimary(now), suspectedByPeer: p.suspectedByPeer(now)}
-	p.recordLoss(a.failed, now)
-	a.draining = a.failed == "" && p.switchoverDue()
-	a.suspected = a.failed != "" || p.primarySuspected(now)
+	a := assessment{deadPrimary: p.findDeadPrimary(now), suspectedByPeer: p.suspectedByPeer(now)}
+	p.recordDeadPrimary(a.deadPrimary, now)
+	a.draining = a.deadPrimary == "" && p.switchoverDue()
+	a.suspected = a.deadPrimary != "" || p.primarySuspected(now)
 	return a
 }
 
@@ -268,11 +268,11 @@
 		return false
 	}
 	p.probeSuspect(ctx, now)
-	p.requestPeerReports(ctx, now, a.suspected, a.failed != "")
-	p.routeAround(a.failed, now)
+	p.requestPeerReports(ctx, now, a.suspected, a.deadPrimary != "")
+	p.routeAround(a.deadPrimary, now)
 	switch {
-	case a.failed != "" && p.lossAgreed(a.failed, now):
-		p.tryPromotion(ctx, now, a.failed, func(ctx context.Context, token uint64) error { return p.replace(ctx, a.failed, token) })
+	case a.deadPrimary != "" && p.majorityConsidersDead(a.deadPrimary, now):
+		p.tryPromotion(ctx, now, a.deadPrimary, func(ctx context.Context, token uint64) error { return p.replace(ctx, a.deadPrimary, token) })
 	case a.draining:
 		p.tryPromotion(ctx, now, "", p.switchOver)
 	default:
--- a/node/promoter/replace.go
+++ b/node/promoter/replace.go
@@ -35,21 +35,21 @@
 
 // replace promotes the replica with the most advanced log in place of a dead
 // primary.
-func (p *Promoter) replace(ctx context.Context, failed string, token uint64) error {
-	reports, err := p.survey(ctx, failed)
+func (p *Promoter) replace(ctx context.Context, deadPrimary string, token uint64) error {
+	reports, err := p.survey(ctx, deadPrimary)
 	if err != nil {
 		p.resume(ctx, reports)
 		return err
 	}
-	if id, found := p.set.AssumedPrimary(); found && id != failed {
+	if id, found := p.set.AssumedPrimary(); found && id != deadPrimary {
 		p.resume(ctx, reports)
 		return errRecovered
 	}
-	if m, known := p.set.Member(failed); known && !m.Dead(clock.Now()) {
+	if m, known := p.set.Member(deadPrimary); known && !m.Dead(clock.Now()) {
 		p.resume(ctx, reports)
 		return errRecovered
 	}
-	chosen, ok := succession.ChooseCandidate(reports, p.replicas(failed), p.spec().SyncReplicas)
+	chosen, ok := succession.ChooseCandidate(reports, p.replicaCount(deadPrimary), p.spec().SyncReplicas)
 	if !ok {
 		p.resume(ctx, reports)
 		return errNoCandidate
@@ -61,11 +61,11 @@
 	return nil
 }
 
-// replicas returns the number of members other than the failed one.
-func (p *Promoter) replicas(failed string) int {
+// replicaCount returns the number of members other than the dead primary.
+func (p *Promoter) replicaCount(deadPrimary string) int {
 	count := 0
 	for _, m := range p.set.Members() {
-		if m.ID() != failed {
+		if m.ID() != deadPrimary {
 			count++
 		}
 	}
@@ -75,27 +75,27 @@
 // survey pauses replication on the replicas and returns their positions, which
 // cannot change afterwards. The first round guesses the term, which saves the
 // round trip to ask for it; a further round is needed if the guess was too low.
-func (p *Promoter) survey(ctx context.Context, failed string) ([]succession.Report, error) {
+func (p *Promoter) survey(ctx context.Context, deadPrimary string) ([]succession.Report, error) {
 	var reports []succession.Report
-	primaries := map[string]bool{}
-	newest := p.set.Term()
+	isPrimary := map[string]bool{}
+	newestTerm := p.set.Term()
 	for range maxSurveyRounds {
-		term := newest + 1
-		asked := p.sendControlToReplicas(ctx, failed, func(id string) statement.Operation { return pauseOperation(primaries[id], term) })
+		term := newestTerm + 1
+		asked := p.sendControlToReplicas(ctx, deadPrimary, func(id string) statement.Operation { return pauseOperation(isPrimary[id], term) })
 		reports = nil
 		for _, r := range asked {
-			newest = max(newest, r.Status.Term)
+			newestTerm = max(newestTerm, r.Status.Term)
 			if r.Status.Primary && !p.set.LostLog(r.ID, r.Status) {
 				return asked, errRecovered
 			}
 			// A member ignores an operation with a term that it already knows.
-			stopped := r.Status.PausedTerm >= term || primaries[r.ID]
+			stopped := r.Status.PausedTerm >= term || isPrimary[r.ID]
 			if stopped && !r.Status.Primary {
 				reports = append(reports, r)
 			}
-			primaries[r.ID] = r.Status.Primary
+			isPrimary[r.ID] = r.Status.Primary
 		}
-		if _, ok := succession.ChooseCandidate(reports, p.replicas(failed), p.spec().SyncReplicas); ok {
+		if _, ok := succession.ChooseCandidate(reports, p.replicaCount(deadPrimary), p.spec().SyncReplicas); ok {
 			return reports, nil
 		}
 		if ctx.Err() != nil {
@@ -120,19 +120,19 @@
 	return func(string) statement.Operation { return op }
 }
 
-// sendControlToReplicas sends a control operation to all members except the
-// failed one and collects the answers.
-func (p *Promoter) sendControlToReplicas(ctx context.Context, failed string, order func(id string) statement.Operation) []succession.Report {
+// sendControlToReplicas sends a control operation to all members except the old
+// primary and collects the answers.
+func (p *Promoter) sendControlToReplicas(ctx context.Context, oldPrimary string, operationFor func(id string) statement.Operation) []succession.Report {
 	members := p.set.Members()
 	results := make(chan controlResult, len(members))
 	asked := 0
 	for _, m := range members {
-		if m.ID() == failed {
+		if m.ID() == oldPrimary {
 			continue
 		}
 		asked++
 		go func() {
-			st, err := p.set.SendControl(ctx, m, order(m.ID()))
+			st, err := p.set.SendControl(ctx, m, operationFor(m.ID()))
 			if err != nil {
 				eventlog.GroupCommandFailed.Info(p.log).Err(err).Str("upstream", m.ID()).Str("order", "survey").Send()
 			}
@@ -254,12 +254,12 @@
 
 // awaitCatchUp waits until a remaining replica is within maxSwitchoverLag of the
 // primary.
-func (p *Promoter) awaitCatchUp(ctx context.Context, old *replicaset.Member) {
+func (p *Promoter) awaitCatchUp(ctx context.Context, oldPrimary *replicaset.Member) {
 	deadline := clock.Now() + catchUpTimeout
 	for clock.Now() < deadline && ctx.Err() == nil {
-		status, err := p.set.Status(ctx, old)
+		status, err := p.set.Status(ctx, oldPrimary)
 		if err == nil {
-			for _, r := range p.remainingReplicas(ctx, old.ID()) {
+			for _, r := range p.remainingReplicas(ctx, oldPrimary.ID()) {
 				if r.Status.Received.Offset+maxSwitchoverLag >= status.Received.Offset {
 					return
 				}
@@ -271,10 +271,10 @@
 
 // awaitFullLog waits until a remaining replica has received the log up to its
 // end.
-func (p *Promoter) awaitFullLog(ctx context.Context, old string, end logpos.Position) (succession.Report, bool) {
+func (p *Promoter) awaitFullLog(ctx context.Context, oldPrimary string, end logpos.Position) (succession.Report, bool) {
 	deadline := clock.Now() + fullLogTimeout
 	for clock.Now() < deadline && ctx.Err() == nil {
-		for _, r := range p.remainingReplicas(ctx, old) {
+		for _, r := range p.remainingReplicas(ctx, oldPrimary) {
 			if r.Status.Received.Compare(end) >= 0 {
 				return r, true
 			}
@@ -285,9 +285,9 @@
 }
 
 // remainingReplicas returns the status of the replicas that are not draining.
-func (p *Promoter) remainingReplicas(ctx context.Context, old string) []succession.Report {
+func (p *Promoter) remainingReplicas(ctx context.Context, oldPrimary string) []succession.Report {
 	var out []succession.Report
-	for _, r := range p.sendControlToReplicas(ctx, old, sameOperation(statement.Operation{Verb: statement.ReportStatus})) {
+	for _, r := range p.sendControlToReplicas(ctx, oldPrimary, sameOperation(statement.Operation{Verb: statement.ReportStatus})) {
 		if !r.Leaving {
 			out = append(out, r)
 		}
--- a/node/promoter/route_around.go
+++ b/node/promoter/route_around.go
@@ -15,7 +15,7 @@
 		return
 	}
 	p.mu.Lock()
-	reaching := succession.HostsReaching(p.peerReports.Current(p.lostPrimary, now))
+	reaching := succession.HostsReaching(p.peerReports.Current(p.deadIncarnation, now))
 	p.mu.Unlock()
 	var addresses []string
 	for _, host := range reaching {
--- a/node/promoter/store_sync.go
+++ b/node/promoter/store_sync.go
@@ -63,12 +63,12 @@
 // already reported.
 func (p *Promoter) primaryToReport(now time.Duration) string {
 	p.mu.Lock()
-	lost, since := p.lostPrimary, p.lostSince
+	dead, since := p.deadIncarnation, p.deadSince
 	p.mu.Unlock()
-	if lost != "" && (now-since < reportDelay || !p.mayReport(lost)) {
+	if dead != "" && (now-since < reportDelay || !p.mayReport(dead)) {
 		return p.reportedPrimary()
 	}
-	return lost
+	return dead
 }
 
 // reportedPrimary returns the primary that this host has reported as dead in the
@@ -96,8 +96,8 @@
 		return
 	}
 	now := clock.Now()
-	if lost := p.primaryToReport(now); lost != p.reportedPrimary() {
-		p.report(ctx, lost)
+	if dead := p.primaryToReport(now); dead != p.reportedPrimary() {
+		p.report(ctx, dead)
 	}
 	lock := p.registry.LockOf(p.service)
 	if p.shouldTakeLock(lock, now) {
@@ -110,12 +110,12 @@
 // mayReport reports whether this host may report the primary: it is a voter, or
 // nobody has reported yet. The first report makes voters without traffic probe
 // the primary.
-func (p *Promoter) mayReport(lost string) bool {
-	return p.set.IsVoter() || len(p.registry.Suspecting(p.service, lost)) == 0
+func (p *Promoter) mayReport(dead string) bool {
+	return p.set.IsVoter() || len(p.registry.Suspecting(p.service, dead)) == 0
 }
 
-// report replaces this host's report in the store. An empty lost withdraws it.
-func (p *Promoter) report(ctx context.Context, lost string) {
+// report replaces this host's report in the store. An empty ID withdraws it.
+func (p *Promoter) report(ctx context.Context, dead string) {
 	epoch := p.registry.Epoch()
 	if reported := p.reportedPrimary(); reported != "" {
 		if err := p.registry.Trust(ctx, p.service, reported); err != nil {
@@ -124,15 +124,15 @@
 		}
 		p.storeSync.reported = ""
 	}
-	if lost == "" {
+	if dead == "" {
 		return
 	}
-	if err := p.registry.Suspect(ctx, p.service, lost); err != nil {
+	if err := p.registry.Suspect(ctx, p.service, dead); err != nil {
 		eventlog.GroupCommandFailed.Warn(p.log).Err(err).Str("order", "report a dead primary").Send()
 		return
 	}
-	eventlog.PrimaryReportedDead.Info(p.log).Str("upstream", lost).Send()
-	p.storeSync.reported, p.storeSync.reportedEpoch = lost, epoch
+	eventlog.PrimaryReportedDead.Info(p.log).Str("upstream", dead).Send()
+	p.storeSync.reported, p.storeSync.reportedEpoch = dead, epoch
 }
 
 // vacantLockDue reports whether this host should take a lock that has no holder,
--- a/node/promoter/store_sync_test.go
+++ b/node/promoter/store_sync_test.go
@@ -13,15 +13,15 @@
 	"github.com/dotterelswitch/dotterelswitch/node/replicaset"
 )
 
-// Reports of an earlier store epoch are void, so that a restored store needs a
-// new one.
+// Guards against relying on a report from before a restore of the store: it is void
+// in the new epoch and must be repeated.
 func TestReportIsRepeatedAfterRestore(t *testing.T) {
 	set := replicaset.New(replicaset.Config{Service: "svc", Host: "h0", Log: zerolog.Nop()})
 	set.Update(nil, catalog.Service{}, gates.NewFleet([]gates.Host{{Name: "h0", Zone: "z"}}, nil))
 	registry := reportingRegistry{hosts: []string{"h0"}, holder: "other", epoch: 1}
 	p := New(Config{Service: "svc", Host: "h0", Set: set, Registry: registry, Log: zerolog.Nop()})
 	now := clock.Now()
-	p.lostPrimary, p.lostSince = "m", now-time.Minute
+	p.deadIncarnation, p.deadSince = "m", now-time.Minute
 	require.True(t, p.storeSyncDue(now))
 	p.syncStore(t.Context())
 	require.Equal(t, "m", p.reportedPrimary())
--- a/node/replicaset/attempts.go
+++ b/node/replicaset/attempts.go
@@ -10,7 +10,7 @@
 // maxAttempts bounds the attempts per statement.
 const maxAttempts = 6
 
-// attempts runs one step of a caller, trying members in turn.
+// attempts runs one job for a caller, trying members in turn.
 type attempts struct {
 	set     *Set
 	request Request
@@ -49,12 +49,11 @@
 	return !overloaded(a.lastErr) && clock.Now() <= a.request.StartDeadline && clock.Sleep(ctx, primaryRetryDelay)
 }
 
-// refusal returns the outcome of a step that no attempt completed.
+// refusal returns the outcome of a job that no attempt completed.
 func (a *attempts) refusal() Outcome { return refuse(a.outcome, a.request, a.lastErr) }
 
-// onPrimary runs a step on the primary. It retries only after an answer that
-// proves that the step had no effect. The member is nil if no attempt
-// succeeded.
+// onPrimary runs a job on the primary. It retries only while the failed attempts
+// cannot have had an effect. The member is nil if no attempt got a final answer.
 func (a *attempts) onPrimary(ctx context.Context, kind JobKind) (Result, *Member) {
 	for a.canRetry(ctx) {
 		m, found := a.set.awaitPrimary(ctx, &a.request)
@@ -73,8 +72,8 @@
 	return Result{}, nil
 }
 
-// onReaders runs a read-only step. Reads have no effect, so several members may
-// be tried in turn. The member is nil if no attempt succeeded.
+// onReaders runs a read-only job. Reads have no effect, so several members may be
+// tried in turn. The member is nil if no attempt got a final answer.
 func (a *attempts) onReaders(ctx context.Context, kind JobKind) (Result, *Member) {
 	progress := newReadProgress()
 	for a.canRetry(ctx) {
@@ -122,10 +121,10 @@
 	return found
 }
 
-// readProgress tracks the members tried so far for one step.
+// readProgress tracks the members tried so far for one read.
 type readProgress struct {
-	// attempted holds the members that were tried; excluded holds those of them
-	// that failed for a reason other than replication lag.
+	// attempted holds the members that were tried. excluded is the subset that
+	// failed for a reason other than replication lag.
 	attempted, excluded map[string]bool
 	// gateLacksFloor is set once a gate has reported that it knows no floor
 	// either.
--- a/node/replicaset/conn.go
+++ b/node/replicaset/conn.go
@@ -22,7 +22,8 @@
 
 const (
 	// connectTimeout bounds dial and login. It allows for a full login queue at
-	// the member and is far below the silence timeout of failure detection.
+	// the member, but ends well before failure detection takes the member for
+	// silent.
 	connectTimeout = 600 * time.Millisecond
 	// readBufferBytes fits a typical answer (about 1 kB) in one read.
 	readBufferBytes = 4 << 10
--- a/node/replicaset/dispatch.go
+++ b/node/replicaset/dispatch.go
@@ -8,10 +8,10 @@
 	"github.com/dotterelswitch/dotterelswitch/node/clock"
 )
 
-// dispatch runs the first step of a read, write or transaction. It uses a local
-// connection if this host is a gate of the member, and a remote gate otherwise;
-// if no gate is usable it falls back to this host. It also returns the address
-// of the gate, empty for this host.
+// dispatch runs a read, a write or the begin of a transaction. It uses a connection
+// of this host if this host is a gate of the member, and a gate on another host
+// otherwise. If no gate is usable, it falls back to this host. It also returns the
+// address of the gate; empty for this host.
 func (s *Set) dispatch(ctx context.Context, m *Member, j Job) (Result, string) {
 	j.Member = m.id
 	j.Owner = s.owner
@@ -38,8 +38,8 @@
 }
 
 // remoteRun runs a job on another host and records what the result shows about
-// the member. The start of the call is a lower bound for the time at which the
-// member was asked.
+// the member. The start of the call is used as the time at which the member was
+// asked: the actual time is unknown, and an earlier one is safe.
 func (s *Set) remoteRun(ctx context.Context, m *Member, address string, j Job) Result {
 	began := clock.Now()
 	m.remoteStarted()
@@ -78,7 +78,7 @@
 	}
 }
 
-// stepTx runs a later step of a transaction on the host that opened it.
+// stepTx runs a job of an open transaction on the host that runs the transaction.
 func (s *Set) stepTx(ctx context.Context, m *Member, address string, j Job) Result {
 	j.Member, j.Owner = m.id, s.owner
 	if address != "" {
--- a/node/replicaset/execute.go
+++ b/node/replicaset/execute.go
@@ -79,8 +79,8 @@
 	return Result{Answer: statement.ErrorAnswer(statement.WrongMember, "another member answers at the address", statement.Idle), Waited: waited}
 }
 
-// executeOn runs a first step on a connection. It releases the connection
-// unless a transaction was opened.
+// executeOn runs a read, a write or the begin of a transaction on a connection. It
+// releases the connection unless a transaction was opened.
 func (s *Set) executeOn(ctx context.Context, c *Conn, j Job) Result {
 	if err := c.setSessionValues(j.Request.Values, j.Request.Deadline); err != nil {
 		c.member.release(c)
@@ -123,10 +123,9 @@
 	return logpos.Position{}, &RefusedError{Reason: "the floor grew too old while the statement waited"}
 }
 
-// readOnPrimary runs a read inside a transaction opened for it. A member that
-// is no longer the primary refuses to open the transaction or to read in it, so
-// the answer reflects every commit acknowledged before. A separate check before
-// a plain read would prove nothing about the moment of the read.
+// readOnPrimary runs a read inside a read-write transaction opened for it, which
+// only the primary allows. The answer so reflects every commit acknowledged before.
+// A separate check before a plain read would be a race with a failover.
 func (s *Set) readOnPrimary(ctx context.Context, c *Conn, req Request) Result {
 	sent := clock.Now()
 	end := req.attemptDeadline(sent)
@@ -160,7 +159,7 @@
 	return s.writeResult(c, x)
 }
 
-// writeResult turns the answer to a write, or to a commit with writes, into a
+// writeResult converts the answer to a write, or to a commit with writes, into a
 // result.
 func (s *Set) writeResult(c *Conn, x exchange) Result {
 	res := s.primaryResult(c, x)
@@ -170,8 +169,8 @@
 	return res
 }
 
-// primaryResult turns an answer that only a primary can give into a result and
-// records the proof of leadership.
+// primaryResult converts an answer that only a primary can give into a result and
+// records that it confirms the primary.
 func (s *Set) primaryResult(c *Conn, x exchange) Result {
 	res := Result{Answer: x.answer, StatementMayHaveRun: x.statementMayHaveRun, ConfirmsPrimary: x.answer.Code == statement.OK}
 	if res.ConfirmsPrimary {
@@ -207,9 +206,8 @@
 	return Result{Answer: a, ConfirmsPrimary: j.RequirePrimary, Tx: s.txs.add(c, j)}
 }
 
-// lostLogResult is the result of a step on a member that restarted without its
-// log and must not be treated as the primary. No statement of the caller was
-// sent.
+// lostLogResult is the result of a job on a member that restarted without its log
+// and must not be treated as the primary. No statement of the caller was sent.
 func lostLogResult() Result {
 	return Result{Answer: statement.ErrorAnswer(statement.ReadOnlyMember, "the member has lost its log", statement.Idle)}
 }
@@ -225,7 +223,7 @@
 	c.member.release(c)
 }
 
-// continueTx runs a later step of a transaction.
+// continueTx runs a job of an open transaction.
 func (s *Set) continueTx(ctx context.Context, j Job) Result {
 	tx, found := s.txs.get(j.Tx)
 	if !found && j.Kind == JobRollback {
@@ -281,8 +279,8 @@
 }
 
 // runRetryingBusy runs a statement and repeats it while the member answers busy
-// and the transaction state is unchanged. The member's queue is short, so a
-// place frees up within milliseconds.
+// and the transaction state is unchanged. The member's queue is short, so it has
+// room again within milliseconds.
 func runRetryingBusy(ctx context.Context, c *Conn, req Request, floor logpos.Position) (exchange, error) {
 	state := c.lastState
 	for delay := busyRetryDelay; ; delay = min(2*delay, maxBusyRetryDelay) {
--- a/node/replicaset/floors.go
+++ b/node/replicaset/floors.go
@@ -8,9 +8,9 @@
 	"github.com/dotterelswitch/dotterelswitch/node/clock"
 )
 
-// floor returns the minimum log position that a read must observe. Staleness is
-// relative to now, the time of sending, so that a wait does not make the answer
-// staler.
+// floor returns the minimum log position that a read must observe. now is the time
+// at which the read is sent; computed at an earlier time, the floor would let the
+// answer exceed the staleness bound by the wait in between.
 func (s *Set) floor(req Request, now time.Duration) (logpos.Position, bool) {
 	if req.Route.Consistency == catalog.Primary {
 		return logpos.Position{}, false
@@ -20,8 +20,9 @@
 	return s.floors.Lookup(now-req.Route.MaxStaleness+stalenessMargin, req.LastCommit)
 }
 
-// lowerBound returns a position that every current floor reaches, however old
-// the latest known floor is. A member that lacks it cannot serve the read.
+// lowerBound returns a position that is at or below the read's actual floor, even
+// if the latest known floor is too old to be used itself. A member that has not
+// reached it cannot serve the read.
 func (s *Set) lowerBound(req Request) logpos.Position {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -47,8 +48,8 @@
 }
 
 // FloorFromAge returns a floor whose age another host reported in response to a
-// request sent at asked. The age was measured after the request was sent, so
-// AsOf is never too late, whatever the latency.
+// request sent at sentAt. The age was determined after that time, so AsOf is never
+// too late, whatever the latency.
 func FloorFromAge(p logpos.Position, leadership Leadership, age, sentAt time.Duration) Floor {
 	return Floor{Position: p, AsOf: sentAt - age, Leadership: leadership}
 }
@@ -115,9 +116,8 @@
 	s.ObserveFloor(f)
 }
 
-// minFloorAdvance is the minimum advance in time for which a floor from an
-// answer is recorded. Staleness bounds are around a second or more, so smaller
-// steps hardly matter.
+// minFloorAdvance is the minimum advance in time for which a floor from an answer
+// is recorded. It is small compared with staleness bounds of a second or more.
 const minFloorAdvance = 50 * time.Millisecond
 
 // floorRequestInterval is the minimum time between requests to peers for
--- a/node/replicaset/gate_floor_test.go
+++ b/node/replicaset/gate_floor_test.go
@@ -40,8 +40,8 @@
 
 func (*floorRemote) Drop(string) {}
 
-// setWithoutConnections returns the set of a host that keeps no connections and
-// whose latest floor is older than any staleness bound.
+// setWithoutConnections returns the set of a host that is not a gate of the members
+// and whose latest floor is older than any staleness bound.
 func setWithoutConnections(r Remote, disabledNames ...mechanism.Name) *Set {
 	disabled := mechanism.Disabled{}
 	for _, n := range disabledNames {
@@ -70,8 +70,8 @@
 	}
 }
 
-// TestReadWithoutAnyFloorGoesToPrimary checks that a read goes to the primary
-// after a gate has reported, once, that it knows no floor.
+// TestReadWithoutAnyFloorGoesToPrimary guards against asking further gates, instead
+// of the primary, after one gate has reported that it knows no floor.
 func TestReadWithoutAnyFloorGoesToPrimary(t *testing.T) {
 	r := &floorRemote{lacksFloor: true}
 	out := setWithoutConnections(r).Read(context.Background(), boundedRead500ms(time.Second))
@@ -97,8 +97,8 @@
 	require.Zero(t, r.onReplica)
 }
 
-// TestGateRequestsFloorForRead checks that a gate without a floor asks its
-// peers, and refuses the read before it takes a connection if none answers.
+// TestGateRequestsFloorForRead checks that a gate without a floor asks other hosts,
+// and refuses the read before it takes a connection if none answers.
 func TestGateRequestsFloorForRead(t *testing.T) {
 	s := setWithoutConnections(nil)
 	j := Job{Kind: JobRead, Member: "replica", Request: boundedRead500ms(time.Second)}
--- a/node/replicaset/job.go
+++ b/node/replicaset/job.go
@@ -9,14 +9,13 @@
 	"github.com/dotterelswitch/dotterelswitch/core/statement"
 )
 
-// JobKind is the kind of a step on one member.
+// JobKind is the kind of a Job.
 type JobKind uint8
 
 const (
 	// JobRead is a read at or past a floor.
 	JobRead JobKind = iota
-	// JobPrimaryRead is a read during which the member must prove that it is
-	// the primary.
+	// JobPrimaryRead is a read that only the current primary can answer.
 	JobPrimaryRead
 	// JobWrite is a single write outside a transaction.
 	JobWrite
@@ -27,8 +26,9 @@
 	JobRollback
 )
 
-// Job is one step and the parameters of its execution, on this host or on a
-// gate of the member.
+// Job is one step of a caller's work on one member, such as a read, a write or the
+// begin of a transaction, with its parameters. It runs on this host or on a gate of
+// the member.
 type Job struct {
 	Kind    JobKind
 	Member  string
@@ -41,15 +41,16 @@
 	RequirePrimary bool
 	// Wrote tells JobCommit that the transaction has writes.
 	Wrote bool
-	// Tx identifies the transaction of a later step.
+	// Tx identifies the open transaction of a JobStatement, JobCommit or
+	// JobRollback.
 	Tx uint64
 	// Owner identifies the host, with its incarnation, that opens a
 	// transaction.
 	Owner string
 }
 
-// repeatable reports whether the job may run twice. A transaction that was
-// opened twice is rolled back on the gate that does not get its later steps.
+// repeatable reports whether the job may run twice. If a transaction was opened
+// twice, the gate that gets no further job for its copy rolls that copy back.
 func (j Job) repeatable() bool {
 	return j.Kind == JobRead || j.Kind == JobPrimaryRead || j.Kind == JobBegin
 }
@@ -71,10 +72,10 @@
 	// Err is the reason for a missing answer: a *RefusedError, *ConnectError,
 	// *NoResponseError or *GateError.
 	Err error
-	// StatementSent is set once the member may have received the caller's
+	// StatementMayHaveRun is set once the member may have received the caller's
 	// statement.
 	StatementMayHaveRun bool
-	// Proof is set when only the primary could have given this answer.
+	// ConfirmsPrimary is set when only the primary could have given this answer.
 	ConfirmsPrimary bool
 	Tx              uint64
 	// Waited is the time until a connection was acquired.
@@ -98,7 +99,7 @@
 // GateError reports a job that another host did not answer.
 type GateError struct {
 	Address string
-	// MaybeSent is set if the other host may have received the job.
+	// JobMayHaveArrived is set if the other host may have received the job.
 	JobMayHaveArrived bool
 	Err               error
 }
@@ -107,8 +108,8 @@
 
 func (e *GateError) Unwrap() error { return e.Err }
 
-// gateError returns the transport failure that is the reason for a missing
-// answer, if any.
+// gateError returns the *GateError that is the reason for a missing answer, if it
+// is one.
 func (r Result) gateError() (*GateError, bool) {
 	var gateErr *GateError
 	isGateErr := errors.As(r.Err, &gateErr)
--- a/node/replicaset/lag_test.go
+++ b/node/replicaset/lag_test.go
@@ -20,13 +20,13 @@
 // replica that applies its log with a delay.
 type delayedReplicaRemote struct {
 	startedAt time.Duration
-	// applyDelay is the replica's apply delay. The primary commits once per
+	// applyDelay is how far the replica lags. The primary commits once per
 	// millisecond.
 	applyDelay time.Duration
 	// reportFloor makes the primary's gate add the latest floor to its
 	// refusals.
 	reportFloor bool
-	// onPrimary and onReplica count the jobs.
+	// onPrimary and onReplica count the jobs by member.
 	onPrimary, onReplica int
 }
 
--- a/node/replicaset/liveness.go
+++ b/node/replicaset/liveness.go
@@ -11,7 +11,7 @@
 const portProbeTimeout = 300 * time.Millisecond
 
 // ProbePort checks in the background whether a member's machine still refuses
-// connections. It does not log in, so it costs the member no slot, and it
+// connections. It does not log in, so it occupies no slot of the member, and it
 // ignores the pool's backoff.
 func (s *Set) ProbePort(ctx context.Context, m *Member) {
 	go func() {
--- a/node/replicaset/member.go
+++ b/node/replicaset/member.go
@@ -36,33 +36,34 @@
 	nextID       uint64
 	health       health.MemberDetector
 	responseTime time.Duration
-	// workTimes tracks execution times by kind of statement, which is its
-	// database.
+	// executionTimes tracks execution times by kind of statement. The kind is the
+	// statement's database.
 	executionTimes worktime.Times
 	removed        bool
 	// position is the latest known end of the member's log, observed at
 	// positionAt.
 	position   logpos.Position
 	positionAt time.Duration
-	// share lists the gates of the member if this host is not one of them;
-	// remoteInFlight counts the statements that run there.
-	share          gates.Share
+	// share is this host's share of the member's connections. It lists the gates
+	// of the member if this host is not one of them.
+	share gates.Share
+	// remoteInFlight counts the statements in progress on other hosts.
 	remoteInFlight int
-	// restartRevision is the revision of the role that the member had when it
-	// restarted; zero before a first restart. A primary claim is ignored unless
-	// it is newer.
+	// restartRevision is the revision of the role entry at the member's restart;
+	// zero before a first restart. Entries that claim the primary role are ignored
+	// unless they are newer.
 	restartRevision store.Revision
 	// wrongMemberUntil is the end of the backoff after another member answered
 	// at this one's address.
 	wrongMemberUntil time.Duration
-	// detours are hosts that can reach the member while this one cannot, valid
-	// until detoursUntil.
+	// alternateHosts can reach the member while this host cannot. The list is
+	// valid until alternateHostsUntil.
 	alternateHosts      []string
 	alternateHostsUntil time.Duration
 	// reportedDeadUntil is the end of validity of a gate's report that the
 	// member is dead.
 	reportedDeadUntil time.Duration
-	// corroborated is set while another host also considers the member dead.
+	// confirmedByPeers is set while another host also considers the member dead.
 	confirmedByPeers bool
 	// openTimer retries opening connections after a backoff; idleTimer closes
 	// expired idle connections. Each is nil while not armed.
@@ -133,7 +134,7 @@
 	}
 }
 
-// demoted fails the requests that wait for a connection to a former primary, so
+// failWaitersOnDemotion fails the requests that wait for a connection to a former primary, so
 // that they can move to the new one.
 func (m *Member) failWaitersOnDemotion() {
 	m.mu.Lock()
@@ -148,8 +149,8 @@
 }
 
 // acceptsPrimaryClaim reports whether to trust an entry that claims the primary
-// role. A member that has restarted may have lost its log and has to prove its
-// leadership.
+// role. A member that has restarted may have lost its log, so an entry from before
+// the restart does not count.
 func (m *Member) acceptsPrimaryClaim(e directory.Member) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -191,7 +192,7 @@
 	m.wrongMemberUntil = now + wrongMemberBackoff
 }
 
-// wrongMemberAnswers reports whether another member has recently answered at
+// inWrongMemberBackoff reports whether another member has recently answered at
 // this one's address.
 func (m *Member) inWrongMemberBackoff(now time.Duration) bool {
 	m.mu.Lock()
@@ -209,24 +210,25 @@
 }
 
 // gateAddresses returns the gates that this host sends statements to, in order
-// of preference; none if this host keeps its own connections.
+// of preference; none if this host is a gate itself.
 func (m *Member) gateAddresses() []string {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.share.GateAddresses
 }
 
-// keepsConnections reports whether this host is a gate of the member.
+// isGate reports whether this host is a gate of the member.
 func (m *Member) isGate() bool { return len(m.gateAddresses()) == 0 }
 
-// remoteStarted and remoteEnded track the statements in progress on other
-// hosts.
+// remoteStarted records the start of a statement on another host.
 func (m *Member) remoteStarted() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.remoteInFlight++
 }
 
+// remoteEnded records the end of a statement on another host. ran is set if the
+// member answered it.
 func (m *Member) remoteEnded(began, now time.Duration, ran bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/node/replicaset/member_health.go
+++ b/node/replicaset/member_health.go
@@ -78,27 +78,28 @@
 	return now < m.wrongMemberUntil || m.health.Dead(now, m.confirmedByPeers)
 }
 
-// SetCorroborated records whether another host considers the member dead.
-func (m *Member) SetConfirmedByPeers(corroborated bool) {
+// SetConfirmedByPeers records whether another host also considers the member dead.
+func (m *Member) SetConfirmedByPeers(confirmed bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.confirmedByPeers = corroborated
+	m.confirmedByPeers = confirmed
 }
 
-// gateReportTTL is how long a gate's report of a dead member is valid, about
-// the interval at which a dead member is probed.
+// gateReportTTL is how long a gate's report of a dead member is valid. It is
+// slightly longer than probeInterval.
 const gateReportTTL = 300 * time.Millisecond
 
-// reportedDead records that a gate considers the member dead. This only diverts
-// statements: a report to other hosts needs this host's own evidence.
+// recordReportedDead records that a gate considers the member dead. This affects
+// only the routing of statements: reports to other hosts require this host's own
+// evidence.
 func (m *Member) recordReportedDead(now time.Duration) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.reportedDeadUntil = now + gateReportTTL
 }
 
-// unreachable reports whether neither this host nor a detour is likely to reach
-// the member.
+// unreachable reports whether the member probably cannot be reached, neither from
+// this host nor through an alternate host.
 func (m *Member) unreachable(now time.Duration) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -114,8 +115,8 @@
 	return false
 }
 
-// recentContactWindow is the maximum age of an answer with which a member
-// counts as reachable although other hosts have lost it.
+// recentContactWindow is the maximum age of a member's latest answer for the member
+// to count as reachable from this host.
 const recentContactWindow = time.Second
 
 // recentlyReached reports whether the member has recently answered this host.
@@ -149,11 +150,12 @@
 	return m.share.GateAddresses
 }
 
-// detourTTL is how long a detour is valid. It spans several rounds of requests
-// to the other hosts.
+// alternateHostsTTL is how long a list of alternate hosts is valid. It spans
+// several rounds of requests to the other hosts.
 const alternateHostsTTL = 500 * time.Millisecond
 
-// SetDetours records which other hosts can reach a member that this one cannot.
+// SetAlternateHosts records which other hosts can reach a member that this one
+// cannot. They run statements for that member meanwhile.
 func (s *Set) SetAlternateHosts(member string, hosts []string, now time.Duration) {
 	m, known := s.Member(member)
 	if !known || len(hosts) == 0 {
--- a/node/replicaset/monitor_gate.go
+++ b/node/replicaset/monitor_gate.go
@@ -9,11 +9,10 @@
 	"github.com/dotterelswitch/dotterelswitch/node/clock"
 )
 
-// runWatched runs a job on another host and pings that host meanwhile. A slow
-// answer may come from a queue at a busy member or from a frozen gate; only a
-// ping tells them apart. If the gate does not respond, a repeatable job is
-// abandoned, to run elsewhere; a write waits for its answer or until the gate
-// counts as lost.
+// runMonitored runs a job on another host and pings that host meanwhile, because a
+// late answer alone does not tell a queue at a busy member from a frozen gate. If
+// the gate does not respond to pings, a repeatable job is abandoned, to run
+// elsewhere; a write waits for its answer or until the gate counts as lost.
 func (s *Set) runMonitored(ctx context.Context, address string, j Job) Result {
 	if !s.disabled.Enabled(mechanism.GateWatch) {
 		return s.remote.Run(ctx, address, s.service, j)
@@ -28,9 +27,9 @@
 	return s.remote.Run(ctx, address, s.service, j)
 }
 
-// watchGate pings a host until the context ends. If the host does not respond,
-// it abandons the job when that is allowed, and otherwise closes the
-// connections once the host counts as lost.
+// monitorGate pings a host until the context ends. If the host does not respond, it
+// abandons the job if mayAbandon is set, and otherwise closes the connections to the
+// host once the host counts as lost.
 func (s *Set) monitorGate(ctx context.Context, abandon context.CancelFunc, address string, mayAbandon bool) {
 	for ctx.Err() == nil {
 		alive := s.gateAlive(ctx, address)
--- a/node/replicaset/monitor_gate_test.go
+++ b/node/replicaset/monitor_gate_test.go
@@ -19,8 +19,8 @@
 	"github.com/dotterelswitch/dotterelswitch/node/clock"
 )
 
-// stallingRemote simulates two gates: the one called first is slow or never
-// answers, the other answers immediately.
+// stallingRemote simulates two gates: the one that is called first answers slowly or
+// never, the other one immediately.
 type stallingRemote struct {
 	// delay is the response time of the first gate; zero for no response.
 	delay time.Duration
@@ -82,8 +82,7 @@
 	return f.dropped
 }
 
-// setBehindGates returns the set of a host that keeps no connections of its
-// own.
+// setBehindGates returns the set of a host that is not a gate of the only member.
 func setBehindGates(r Remote) *Set {
 	s := New(Config{Service: "svc", Remote: r, Host: "h0", Log: zerolog.Nop()})
 	hosts := []gates.Host{{Name: "h0", Zone: "far", Address: "a0"}}
@@ -111,7 +110,7 @@
 	out := setBehindGates(r).Read(context.Background(), boundedRead(time.Minute))
 	require.Equal(t, statement.OK, out.Answer.Code)
 	require.Len(t, r.calls, 2)
-	require.True(t, r.canceled, "the read was given up long before its end")
+	require.True(t, r.canceled, "the read was abandoned long before its deadline")
 }
 
 // TestReadStaysWithBusyGate guards against moving a queued statement away from
--- a/node/replicaset/pick_reader.go
+++ b/node/replicaset/pick_reader.go
@@ -16,8 +16,8 @@
 // reader is the member chosen for a read.
 type reader struct {
 	member *Member
-	// verifyPrimary is set when the member must prove during the read that it
-	// is the primary: the route asks for it, or no floor is known.
+	// verifyPrimary is set when the read must be one that only the current primary
+	// can answer (JobPrimaryRead): the route requires it, or no floor is known.
 	verifyPrimary bool
 	// floorFromGate is set when this host knows no floor and the member's gate
 	// must determine one.
@@ -62,8 +62,8 @@
 // primary has no idle connection, other hosts are asked for a floor first, to
 // spare the primary.
 //
-// A primary that refused the read as overloaded is not asked again for it: with
-// lagging replicas, such retries would overload the gates as well.
+// A primary that refused the read as overloaded is not asked again for it. While
+// all replicas lag, such retries would overload the gates as well.
 func (a *attempts) pickReader(ctx context.Context, progress *readProgress) (reader, error) {
 	s := a.set
 	if m, found := a.boundedReader(ctx, progress); found {
--- a/node/replicaset/primary.go
+++ b/node/replicaset/primary.go
@@ -39,16 +39,17 @@
 	s.notifyPrimaryChange(before, "refused as replica")
 }
 
-// observeProof records an exchange, sent at the given time, that only the
-// primary can complete, and the log position it reported.
+// confirmPrimary records that a member has completed an exchange, sent at the given
+// time, that only the primary can complete, and the log position it reported.
 func (s *Set) confirmPrimary(m *Member, p logpos.Position, sent time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.confirmPrimaryInTerm(m, s.primaryTracker.LeadTerm(m.id, p), p, sent)
 }
 
-// observeProofInTerm records that a member has proved its leadership in a term.
-// It is called with mu held.
+// confirmPrimaryInTerm records that a member is confirmed as the primary of a term,
+// unless its log position shows that it has lost part of its log. It is called with
+// mu held.
 func (s *Set) confirmPrimaryInTerm(m *Member, term logpos.Term, p logpos.Position, sent time.Duration) {
 	before := s.primaryTracker.Primary()
 	if s.highWaterMark.Regressed(m.id, term, p, sent) {
@@ -77,7 +78,7 @@
 	s.confirmPrimaryInTerm(m, st.Term, p, sent)
 }
 
-// logFirstWrite logs the first acknowledged write of a term.
+// logFirstWrite logs the first write that this host sees acknowledged in a term.
 func (s *Set) logFirstWrite(m *Member, p logpos.Position) {
 	s.mu.Lock()
 	isFirst := p.Term > s.lastWriteTerm
@@ -104,8 +105,8 @@
 	return s.highWaterMark.Regressed(id, st.Term, st.Received, clock.Now())
 }
 
-// Primary returns the member believed to be the primary, if usable: it is not
-// past its drain timeout and is reachable.
+// Primary returns the member assumed to be the primary, if it is usable: reachable
+// and not past its drain timeout.
 func (s *Set) Primary() (*Member, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -140,10 +141,9 @@
 }
 
 const (
-	// failoverTimeout is how long statements are held while a group has no
-	// primary. It covers failure detection, the staggered takeover of the hosts
-	// and a promotion of up to a second. After it statements are refused
-	// immediately.
+	// failoverTimeout is how long statements are queued while a group has no
+	// primary. It covers failure detection, the takeover delay of the hosts and a
+	// promotion of up to a second. Afterwards statements are refused immediately.
 	failoverTimeout = 3500 * time.Millisecond
 	// primaryPollInterval is how often a waiting statement checks whether the
 	// old primary is usable again.
@@ -151,8 +151,8 @@
 )
 
 // awaitPrimary waits for a primary for as long as one can be expected. The wait
-// is added to the request's OnTimeUntil, so that it does not cost the request
-// its place.
+// is added to the request's OnTimeUntil, so that the request does not count as late
+// in the queue for a connection because of the failover.
 func (s *Set) awaitPrimary(ctx context.Context, req *Request) (*Member, bool) {
 	began := clock.Now()
 	for {
@@ -187,8 +187,8 @@
 	return min(req.StartDeadline, s.noPrimarySince+failoverTimeout)
 }
 
-// BelievedPrimary returns the member believed to be the primary, whether or not
-// it is usable.
+// AssumedPrimary returns the member assumed to be the primary, whether or not it is
+// usable.
 func (s *Set) AssumedPrimary() (string, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -196,7 +196,6 @@
 	return id, id != ""
 }
 
-// isBelievedPrimary reports whether a member is believed to be the primary.
 func (s *Set) isAssumedPrimary(m *Member) bool {
 	id, found := s.AssumedPrimary()
 	return found && id == m.id
--- a/node/replicaset/probe.go
+++ b/node/replicaset/probe.go
@@ -18,13 +18,14 @@
 	// controlTimeout bounds a control operation, including the wait for a
 	// connection.
 	controlTimeout = 700 * time.Millisecond
-	// controlPriority ranks before every priority that a route can have.
+	// controlPriority is lower, and so more urgent, than every priority that a
+	// route can have.
 	controlPriority = -1
 )
 
 // Probe runs until the context ends. It asks members for their status while the
-// primary is unknown or a member is suspected; otherwise traffic is evidence
-// enough.
+// primary is unknown or a member is suspected; otherwise the results of regular
+// statements show the members' health.
 func (s *Set) Probe(ctx context.Context) {
 	for {
 		select {
@@ -55,11 +56,13 @@
 	}
 }
 
-// probeSuspects probes the suspected members that this host is responsible for,
-// and reports whether there are any suspected members. Hosts without
-// connections to a member ask their peers instead: a probe would cost the
-// member a login, and logins from a large fleet would exhaust its slots after a
-// failover.
+// probeIfNeeded probes the suspected members, or all members while no primary is
+// known, and reports whether there were any to probe. Without a primary it also
+// asks other hosts for their floors, which name the primary.
+//
+// Only the hosts selected by shouldProbe send probes. A host without connections
+// to a member would need a login for each probe, and logins from a large fleet
+// would exhaust the member's slots after a failover.
 func (s *Set) probeIfNeeded(ctx context.Context) bool {
 	now := clock.Now()
 	_, known := s.Primary()
@@ -68,6 +71,7 @@
 	}
 	needsProbe := false
 	for _, m := range s.Members() {
+		// At the address of a member in backoff another member would answer.
 		if known && !m.Suspect(now) || m.inWrongMemberBackoff(now) {
 			continue
 		}
@@ -80,7 +84,7 @@
 }
 
 // shouldProbe reports whether this host probes a member: it is a gate of the
-// member, or it votes on the loss of this primary.
+// member, or a voter on the primary's failure.
 func (s *Set) shouldProbe(m *Member) bool {
 	s.mu.Lock()
 	votes := s.isVoter && s.primaryTracker.Primary() == m.id
@@ -88,7 +92,7 @@
 	return votes || m.isGate()
 }
 
-// RequestStatus asks a member for its status in the background. The answer
+// RefreshStatus asks a member for its status in the background. The answer
 // updates the member's health and the primary tracker.
 func (s *Set) RefreshStatus(ctx context.Context, m *Member) {
 	go func() {
--- a/node/replicaset/read.go
+++ b/node/replicaset/read.go
@@ -14,8 +14,8 @@
 )
 
 const (
-	// primaryRetryDelay is the wait before a primary is tried again that
-	// refused a step, for example because it was just promoted.
+	// primaryRetryDelay is the delay before the primary is tried again after it
+	// refused a job, for example because it was just promoted.
 	primaryRetryDelay = 15 * time.Millisecond
 	// primaryReadWait bounds the wait for a connection to the primary for a
 	// read that a replica could serve. After it, other hosts are asked for a
@@ -39,8 +39,8 @@
 	return &RefusedError{Reason: fmt.Sprintf("member %s answered %s", m.id, r.Answer.Code)}
 }
 
-// retryable reports whether a step with this code may be tried again or
-// elsewhere.
+// retryable reports whether a job with this code may be tried again, possibly on
+// another member.
 func retryable(c statement.Code) bool {
 	switch c {
 	case statement.Busy, statement.Behind, statement.ReadOnlyMember, statement.WrongMember,
@@ -50,7 +50,7 @@
 	return false
 }
 
-// refuse turns the last error of a statement that had no effect into an answer
+// refuse converts the last error of a statement that had no effect into an answer
 // to the caller.
 func refuse(out Outcome, req Request, err error) Outcome {
 	out.Cause = err.Error()
@@ -106,7 +106,7 @@
 	}
 }
 
-// readerJob returns the job for the chosen member.
+// newReadJob returns the job for the chosen member.
 func (a *attempts) newReadJob(kind JobKind, r reader) Job {
 	j := Job{Kind: kind, Request: a.request, RequirePrimary: kind == JobBegin && r.verifyPrimary}
 	if r.verifyPrimary {
@@ -125,8 +125,8 @@
 }
 
 // replicaWillCatchUp reports whether a lagging replica can serve the read
-// later. If so, the read waits for the primary only as long as it is on time,
-// which leaves the primary's connections to work that only it can do.
+// later. If so, the read waits for the primary only until its OnTimeUntil, which
+// leaves the primary's connections to work that only the primary can do.
 func (a *attempts) replicaWillCatchUp(floor logpos.Position, now time.Duration) bool {
 	if !a.floorIsFixed(floor) {
 		return false
@@ -140,7 +140,8 @@
 // time, so a replica that lags by more than the bound never reaches it.
 func (a *attempts) floorIsFixed(floor logpos.Position) bool { return floor == a.request.LastCommit }
 
-// primaryReadJob returns the job for a primary that must prove its leadership.
+// newPrimaryReadJob returns the job for a read that only the current primary can
+// answer.
 func (a *attempts) newPrimaryReadJob(j Job) Job {
 	if j.Kind == JobRead {
 		j.Kind = JobPrimaryRead
--- a/node/replicaset/read_source.go
+++ b/node/replicaset/read_source.go
@@ -4,30 +4,31 @@
 type ReadSource uint8
 
 const (
-	// NoRead stands for steps other than reads.
+	// NotARead: the statement is not a read.
 	NotARead ReadSource = iota
-	// ByReplica is a replica.
+	// ByReplica: served by a replica.
 	ByReplica
-	// PrimaryByRoute is the primary because the route requires it.
+	// PrimaryByRoute: served by the primary because the route requires it.
 	PrimaryByRoute
-	// PrimaryNoFloor is the primary because no floor is known for the read.
+	// PrimaryNoFloor: served by the primary because no floor is known for the read.
 	PrimaryNoFloor
-	// PrimaryReplicasLagging is the primary because every replica is behind the
-	// floor.
+	// PrimaryReplicasLagging: served by the primary because no replica has reached
+	// the floor.
 	PrimaryReplicasLagging
-	// PrimaryReplicasSuspect is the primary because all replicas that are not
-	// lagging are suspected or unregistered.
+	// PrimaryReplicasSuspect: served by the primary because every replica that has
+	// reached the floor is suspected or unregistered.
 	PrimaryReplicasSuspect
-	// PrimaryFaster is the primary because its expected response time is
+	// PrimaryFaster: served by the primary because its expected response time is
 	// shorter, despite the penalty for reads on the primary.
 	PrimaryFaster
 )
 
+// readSourceNames are part of the log format.
 var readSourceNames = [...]string{"none", "replica", "primary_by_route", "primary_no_floor", "primary_behind", "primary_doubt", "primary_sooner"}
 
 func (s ReadSource) String() string { return readSourceNames[s] }
 
-// ReadSources returns all sources of reads.
+// AllReadSources returns all sources of reads, so without NotARead.
 func AllReadSources() []ReadSource {
 	return []ReadSource{ByReplica, PrimaryByRoute, PrimaryNoFloor, PrimaryReplicasLagging, PrimaryReplicasSuspect, PrimaryFaster}
 }
--- a/node/replicaset/reclaim.go
+++ b/node/replicaset/reclaim.go
@@ -8,8 +8,8 @@
 )
 
 // reclaim rolls back a transaction that has been idle for too long on a
-// member's connection while a request waits for one. The caller gets an error
-// at its next step.
+// member's connection while a request waits for one. The transaction's caller gets
+// an error at its next statement.
 func (s *Set) reclaim(m *Member) {
 	if !s.disabled.Enabled(mechanism.Reclaim) {
 		return
--- a/node/replicaset/request.go
+++ b/node/replicaset/request.go
@@ -27,9 +27,9 @@
 	// Received is when this host got the statement, from the caller or from
 	// another host.
 	Received time.Duration
-	// TargetDeadline is when the statement should have completed, OnTimeUntil
-	// when it stops counting as on time in the queue, StartDeadline the latest
-	// useful start, and Deadline when it is abandoned.
+	// TargetDeadline is when the statement should have completed. OnTimeUntil is
+	// when it starts to count as late in the queue for a connection. StartDeadline
+	// is the latest useful start. Deadline is when the statement is abandoned.
 	TargetDeadline, OnTimeUntil, StartDeadline, Deadline time.Duration
 	// AttemptTimeout bounds one attempt of a read, not counting the wait for a
 	// connection; zero for no bound other than Deadline.
@@ -62,7 +62,7 @@
 	Answer statement.Answer
 	// Member is the last member that was tried.
 	Member string
-	// Primary is set if the member was believed to be the primary.
+	// Primary is set if the member was assumed to be the primary.
 	Primary bool
 	// Gate is the host that ran the statement; empty for this one.
 	Gate     string
@@ -72,7 +72,7 @@
 	// ReplicaWait is the time spent waiting for a replica to catch up.
 	ReplicaWait time.Duration
 	// Floor is the minimum log position for a read; zero for a write or for a
-	// read during which the primary proved its leadership.
+	// JobPrimaryRead.
 	Floor logpos.Position
 	// Source is where a read was last sent and why.
 	Source ReadSource
--- a/node/replicaset/run.go
+++ b/node/replicaset/run.go
@@ -12,8 +12,8 @@
 type exchange struct {
 	answer statement.Answer
 	sentAt time.Duration
-	// statementSent is set once the caller's own statement may have reached the
-	// member, so that without an answer its outcome is unknown.
+	// statementMayHaveRun is set once the caller's own statement may have reached
+	// the member, so that without an answer its outcome is unknown.
 	statementMayHaveRun bool
 }
 
--- a/node/replicaset/set.go
+++ b/node/replicaset/set.go
@@ -51,7 +51,7 @@
 	crossRegionRTT = 30 * time.Millisecond
 )
 
-// RoundTrip estimates the round-trip time to a zone.
+// EstimateRoundTrip estimates the round-trip time to a zone.
 func (p Topology) EstimateRoundTrip(zone string) time.Duration {
 	switch {
 	case zone == p.Zone:
@@ -69,8 +69,8 @@
 	Dial     DialFunc
 	Proto    Protocol
 	Topology Topology
-	// DrainTimeout is how long after its announcement a leaving member may be
-	// sent new work.
+	// DrainTimeout is how long a leaving member may be sent new work after it has
+	// announced its shutdown.
 	DrainTimeout time.Duration
 	// RequestFloor asks other hosts for a floor without waiting. Answers arrive
 	// through ObserveFloor.
@@ -85,7 +85,7 @@
 	Owner string
 	// Host is this host's name in the fleet passed to Update.
 	Host string
-	// Disabled lists the mechanisms that are turned off.
+	// Disabled lists the mechanisms that are disabled.
 	Disabled mechanism.Disabled
 	Log      zerolog.Logger
 }
@@ -104,7 +104,7 @@
 	owner        string
 	host         string
 	disabled     mechanism.Disabled
-	// gateHealth tracks which hosts answer their jobs.
+	// gateHealth tracks which gates answer their jobs.
 	gateHealth gateHealth
 	txs        txTable
 	log        zerolog.Logger
@@ -116,7 +116,7 @@
 	members map[string]*Member
 	// shareCache holds this host's shares of the members' connections.
 	shareCache *gates.ShareCache
-	// isVoter is set if this host votes on the loss of the primary.
+	// isVoter is set if this host votes on the primary's failure.
 	isVoter        bool
 	voters         *succession.VoterSet
 	primaryTracker succession.PrimaryTracker
@@ -210,7 +210,7 @@
 	return created
 }
 
-// IsVoter reports whether this host votes on the loss of the primary.
+// IsVoter reports whether this host votes on the primary's failure.
 func (s *Set) IsVoter() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/node/replicaset/stats.go
+++ b/node/replicaset/stats.go
@@ -30,7 +30,7 @@
 	Position    logpos.Position
 	PositionAge time.Duration
 	// Connections, InUse and Waiting count this host's own connections and
-	// waiters; RemoteInFlight counts the statements in progress through Gates.
+	// waiters. RemoteInFlight counts the statements in progress through Gates.
 	Connections, InUse, Waiting, RemoteInFlight int
 	Gates                                       []string
 	// ByTeam counts this host's connections by team.
--- a/node/replicaset/suspicion_test.go
+++ b/node/replicaset/suspicion_test.go
@@ -13,8 +13,8 @@
 )
 
 // TestSuspicionExpiresOnHostThatDoesNotProbe guards against a permanent
-// suspicion on a host that is no gate of the member and so never contacts it
-// again. A gate keeps its evidence because it goes on probing.
+// suspicion on a host that is not a gate of the member and so never contacts it
+// again. A gate keeps its evidence because it continues to probe.
 func TestSuspicionExpiresOnHostThatDoesNotProbe(t *testing.T) {
 	s := setWithoutConnections(nil)
 	m, _ := s.Member("replica")
--- a/node/replicaset/tx.go
+++ b/node/replicaset/tx.go
@@ -13,7 +13,8 @@
 type Tx struct {
 	set    *Set
 	member *Member
-	// gate is the host that runs the transaction; empty for this one.
+	// gate is the address of the host that runs the transaction; empty for this
+	// one.
 	gate string
 	id   uint64
 }
@@ -21,7 +22,8 @@
 // Member returns the name of the member that runs the transaction.
 func (t *Tx) Member() string { return t.member.id }
 
-// Gate returns the host that runs the transaction; empty for this one.
+// Gate returns the address of the host that runs the transaction; empty for this
+// one.
 func (t *Tx) Gate() string { return t.gate }
 
 // Begin opens a transaction. If it fails, the Tx is nil and the outcome is a
--- a/node/replicaset/tx_table.go
+++ b/node/replicaset/tx_table.go
@@ -15,7 +15,7 @@
 	onPrimary bool
 	conn      *Conn
 
-	// mu serializes the steps and guards the fields below.
+	// mu serializes the jobs and guards the fields below.
 	mu       sync.Mutex
 	lastUsed time.Duration
 	ended    bool
--- a/node/request/request.go
+++ b/node/request/request.go
@@ -36,7 +36,7 @@
 	TransactionID uint64
 	// IdempotencyKey is empty for none.
 	IdempotencyKey string
-	// CatchUpWait bounds the wait for a replica to reach MinPosition.
+	// CatchUpWait bounds the wait for the replica to reach MinPosition.
 	CatchUpWait time.Duration
 }
 
--- a/node/router/router.go
+++ b/node/router/router.go
@@ -26,13 +26,14 @@
 	// maxWaitingWrites bounds the requests of one service on one host that wait
 	// for a primary.
 	maxWaitingWrites = 2048
-	// retryRatio and retryReserve define the budget for retries of requests that
-	// may have run on an upstream.
-	retryRatio   = 0.1
+	// retryRatio is the number of retries per first attempt that the retry budget
+	// allows. The budget applies to requests that may have run on an upstream.
+	retryRatio = 0.1
+	// retryReserve is the maximum number of unused retries that the budget holds.
 	retryReserve = 100
 )
 
-// redirectBackoff delays retries of requests that were refused before they ran.
+// redirectBackoff is the backoff between the attempts of a request.
 var redirectBackoff = retry.Backoff{Base: 4 * time.Millisecond, Max: 60 * time.Millisecond}
 
 // Fleet provides the cluster membership and the configuration.
@@ -154,7 +155,8 @@
 	return last
 }
 
-// doRead tries the candidates in order of cost and repeats this after a backoff.
+// doRead tries the candidates in order of cost. If none serves the request, it
+// repeats this after a backoff, until the deadline.
 func (r *Router) doRead(ctx context.Context, svc conf.Service, st *serviceTable, req *request.Request) *request.Response {
 	for attempt := 0; ; attempt++ {
 		r.mu.Lock()
