--- a/node/entry/restart_test.go
+++ b/node/entry/restart_test.go
@@ -104,8 +104,8 @@
 	require.Equal(t, primary.ID, d.group.Primary().ID, "a live primary was replaced")
 }
 
-// TestMalformedMemberEntriesAreIgnored: invalid entries, additional ones and in place
-// of a member's entry, must not affect reads and writes.
+// TestMalformedMemberEntriesAreIgnored: invalid entries, whether additional or in
+// place of a member's entry, must not affect reads and writes.
 func TestMalformedMemberEntriesAreIgnored(t *testing.T) {
 	d := deploy(t, 2, options())
 	c := d.connect(0, "own")
--- a/node/entry/teams_test.go
+++ b/node/entry/teams_test.go
@@ -149,6 +149,8 @@
 		maps.Copy(all, byID)
 	}
 	busiest := busiestWindow(d.group.Executions(), all, tolerance.Window)
+	// One second's rate and a full burst, with the tolerance's share and operations
+	// on top.
 	require.LessOrEqual(t, float64(busiest), (20+20)*1.1+20)
 	require.GreaterOrEqual(t, busiest, 30, "operations within the limit must be served")
 }
@@ -231,8 +233,8 @@
 	}
 }
 
-// TestShowReportsTeams: the inspection API reports the teams' usage, limits, counting
-// hosts and refusals, but no keys.
+// TestShowReportsTeams: the inspection API reports the teams' usage, limits, refusals
+// and the hosts that count their usage, but no keys.
 func TestShowReportsTeams(t *testing.T) {
 	d := deployPlatform(t, options())
 	d.tolerance = quota.Tolerance{Window: time.Second}
--- a/node/gateway/batch.go
+++ b/node/gateway/batch.go
@@ -207,6 +207,7 @@
 	return b.kind
 }
 
+// parseComplete is the type byte of ParseComplete.
 const parseComplete = '1'
 
 // stripHidden removes the ParseCompletes of inserted Parses from an answer.
--- a/node/gateway/settings.go
+++ b/node/gateway/settings.go
@@ -19,6 +19,9 @@
 
 const maxTeamNameBytes = 63
 
+// textOID is the OID of PostgreSQL's type text.
+const textOID = 25
+
 // setProxySetting changes a setting of the proxy; name lacks settingPrefix.
 func (s *session) setProxySetting(name, value string) *outcome.Refusal {
 	switch name {
@@ -162,7 +165,7 @@
 	}
 	s.sendReady(encode(nil,
 		&pgproto3.RowDescription{Fields: []pgproto3.FieldDescription{{
-			Name: []byte(strings.ToLower(tokens[2])), DataTypeOID: 25, DataTypeSize: -1, TypeModifier: -1,
+			Name: []byte(strings.ToLower(tokens[2])), DataTypeOID: textOID, DataTypeSize: -1, TypeModifier: -1,
 		}}},
 		&pgproto3.DataRow{Values: [][]byte{[]byte(value)}},
 		&pgproto3.CommandComplete{CommandTag: []byte("SHOW")},
--- a/node/groupmonitor/monitor.go
+++ b/node/groupmonitor/monitor.go
@@ -134,7 +134,7 @@
 	}
 }
 
-// Suspect tells the controller that a request to the primary failed.
+// Suspect reports a failed request to the primary to the controller.
 func (m *Monitor) Suspect() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/node/owner/execute.go
+++ b/node/owner/execute.go
@@ -13,7 +13,8 @@
 	"github.com/dotterelswitch/dotterelswitch/node/upstream"
 )
 
-// sqlStateReadOnly is a member's answer to a write while it is not primary.
+// sqlStateReadOnly (read_only_sql_transaction) is a member's answer to a write while
+// it is not primary.
 const sqlStateReadOnly = "25006"
 
 // Execute runs one request on a member whose pool this host owns.
--- a/node/owner/keyed.go
+++ b/node/owner/keyed.go
@@ -15,6 +15,7 @@
 	"github.com/dotterelswitch/dotterelswitch/node/upstream"
 )
 
+// sqlStateUniqueViolation is the answer to the insert of a ledger row that exists.
 const sqlStateUniqueViolation = "23505"
 
 // sendKeyed runs a request with an idempotency key and the insert of its ledger
--- a/node/owner/pool.go
+++ b/node/owner/pool.go
@@ -161,7 +161,7 @@
 	}
 }
 
-// resolveTicket tells a queued request whether it was admitted; it needs mu held.
+// resolveTicket admits or refuses a queued request; it needs mu held.
 func (p *pool) resolveTicket(id uint64, admitted bool) {
 	if ticket, found := p.tickets[id]; found {
 		ticket <- admitted
--- a/node/peer/gate_dial_test.go
+++ b/node/peer/gate_dial_test.go
@@ -17,8 +17,8 @@
 // makes all gates of a member unreachable. A statement that was not sent may be
 // retried elsewhere.
 func TestUnreachableGatesLeaveTimeForDirectConnection(t *testing.T) {
-	// objective is a typical target latency of callers.
-	const objective = 500 * time.Millisecond
+	// targetLatency is a typical target latency of a route.
+	const targetLatency = 500 * time.Millisecond
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
@@ -35,6 +35,6 @@
 			require.ErrorAs(t, res.Err, &gateErr)
 			require.False(t, gateErr.JobMayHaveArrived, "a write that was not sent may be retried elsewhere")
 		}
-		require.Less(t, time.Since(started), objective*4/5)
+		require.Less(t, time.Since(started), targetLatency*4/5)
 	})
 }
--- a/node/peer/gate_server.go
+++ b/node/peer/gate_server.go
@@ -25,7 +25,8 @@
 	Configuration(above uint64) []byte
 	// StreamChanges sends the changes of the store after a revision.
 	StreamChanges(ctx context.Context, after store.Revision, send func(registry.Update) error) error
-	// Detached is called when the host that owns transactions is gone.
+	// Detached is called when the Attach stream of an owner of transactions ends,
+	// because its host has stopped or is unreachable.
 	Detached(owner string)
 }
 
--- a/node/registry/registry.go
+++ b/node/registry/registry.go
@@ -185,8 +185,8 @@
 	return r.coordination.locks[service]
 }
 
-// Away reports whether a call to the store has failed and neither the store nor a relay
-// has sent data since.
+// StoreUnreachable reports whether a call to the store has failed and neither the
+// store nor a relay has sent data since.
 func (r *Registry) StoreUnreachable() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/node/replicaset/errors.go
+++ b/node/replicaset/errors.go
@@ -31,7 +31,7 @@
 type NoResponseError struct {
 	// Member is empty when the exchange took place on another host.
 	Member string
-	// TimedOut tells a timeout from a broken connection.
+	// TimedOut is set for a timeout and unset for a broken connection.
 	TimedOut bool
 	Err      error
 }
--- a/node/replicaset/job.go
+++ b/node/replicaset/job.go
@@ -39,7 +39,7 @@
 	// RequirePrimary makes JobBegin open a transaction that only the primary
 	// can run.
 	RequirePrimary bool
-	// Wrote tells JobCommit that the transaction has writes.
+	// Wrote is set on a JobCommit whose transaction has writes.
 	Wrote bool
 	// Tx identifies the open transaction of a JobStatement, JobCommit or
 	// JobRollback.
--- a/node/replicaset/member.go
+++ b/node/replicaset/member.go
@@ -113,7 +113,7 @@
 	}
 }
 
-// remove stops the use of a member that is gone. Statements in progress
+// remove stops the use of a member that is no longer listed. Statements in progress
 // continue.
 func (m *Member) remove() {
 	m.mu.Lock()
@@ -134,8 +134,8 @@
 	}
 }
 
-// failWaitersOnDemotion fails the requests that wait for a connection to a former primary, so
-// that they can move to the new one.
+// failWaitersOnDemotion fails the requests that wait for a connection to a former
+// primary, so that they can move to the new one.
 func (m *Member) failWaitersOnDemotion() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/node/replicaset/read.go
+++ b/node/replicaset/read.go
@@ -74,7 +74,8 @@
 // errNoPrimary refuses a statement that only a primary could run.
 var errNoPrimary = &RefusedError{Reason: "no primary is known", RetryAfter: defaultRetryAfter}
 
-// RetryHint tells a caller that nothing ran and when to retry.
+// RetryHint returns the detail text of a refusal: the statement did not run and may
+// be retried after d.
 func RetryHint(d time.Duration) string {
 	return fmt.Sprintf("not run, retry after %d ms", d.Milliseconds())
 }
--- a/node/replicaset/tx.go
+++ b/node/replicaset/tx.go
@@ -58,8 +58,8 @@
 	return res.Answer
 }
 
-// Commit commits the transaction. The parameter wrote tells whether it has
-// writes; only then can a lost answer leave the outcome unknown.
+// Commit commits the transaction. wrote is set if the transaction has writes; only
+// then can a lost answer leave the outcome unknown.
 func (t *Tx) Commit(ctx context.Context, req Request, wrote bool) statement.Answer {
 	res := t.set.stepTx(ctx, t.member, t.gate, Job{Kind: JobCommit, Request: req, Tx: t.id, Wrote: wrote})
 	if res.Err != nil {
