--- a/node/host/host.go
+++ b/node/host/host.go
@@ -72,9 +72,9 @@
 	wg           sync.WaitGroup
 	platformDown atomic.Bool
 	gatewayDone  chan error
-	// failedPeers holds the sender names of the dead hosts whose pending calls
+	// cancelledPeers holds the sender names of the dead hosts whose pending calls
 	// were cancelled. Only the reconcile goroutine uses it.
-	failedPeers map[string]bool
+	cancelledPeers map[string]bool
 	// preparedEvents holds the events whose connections were opened. Only the
 	// reconcile goroutine uses it.
 	preparedEvents map[eventKey]bool
@@ -188,7 +188,7 @@
 	defer ticker.Stop()
 	for {
 		cfg, placement, dead := h.fleet.snapshot()
-		h.failCalls(dead)
+		h.cancelCallsToDead(dead)
 		h.owner.Reconcile(cfg, placement, dead)
 		select {
 		case <-h.fleet.changed:
@@ -201,17 +201,17 @@
 	}
 }
 
-// failCalls cancels the pending calls to hosts that were newly declared dead.
-func (h *Host) failCalls(dead []membership.Host) {
+// cancelCallsToDead cancels the pending calls to hosts that were newly declared dead.
+func (h *Host) cancelCallsToDead(dead []membership.Host) {
 	deadNames := make(map[string]bool, len(dead))
 	for _, deadHost := range dead {
 		deadNames[owner.SenderName(deadHost)] = true
-		if !h.failedPeers[owner.SenderName(deadHost)] {
+		if !h.cancelledPeers[owner.SenderName(deadHost)] {
 			eventlog.HostStateChanged.Warn(h.log).Str("peer", deadHost.ID).Stringer("state", deadHost.State).Send()
 			h.peers.CancelCalls(deadHost.Peer)
 		}
 	}
-	h.failedPeers = deadNames
+	h.cancelledPeers = deadNames
 }
 
 func (h *Host) reportGauges() {
--- a/node/owner/execute.go
+++ b/node/owner/execute.go
@@ -166,7 +166,7 @@
 		return outcome.Refuse(outcome.TooLarge, "%v", tooLarge)
 	}
 	var run *upstream.RunError
-	if mayCommit && errors.As(err, &run) && run.Sent {
+	if mayCommit && errors.As(err, &run) && run.MayHaveRun {
 		return outcome.Refuse(outcome.UnknownOutcome, "%v", err)
 	}
 	if errors.Is(err, context.DeadlineExceeded) {
--- a/node/peer/client.go
+++ b/node/peer/client.go
@@ -33,9 +33,9 @@
 // CallError reports a call without an answer.
 type CallError struct {
 	Address string
-	// Sent is set if the call may have reached the other host.
-	Sent bool
-	Err  error
+	// MayHaveArrived is set if the call may have reached the other host.
+	MayHaveArrived bool
+	Err            error
 }
 
 func (e *CallError) Error() string { return "peer " + e.Address + ": " + e.Err.Error() }
@@ -194,12 +194,12 @@
 
 // callError wraps the error of a failed call.
 func callError(address string, err error) error {
-	return &CallError{Address: address, Sent: mayHaveReached(err), Err: err}
+	return &CallError{Address: address, MayHaveArrived: mayHaveArrived(err), Err: err}
 }
 
-// mayHaveReached reports whether a failed call may have reached the other host.
+// mayHaveArrived reports whether a failed call may have reached the other host.
 // Only a failed dial rules that out.
-func mayHaveReached(err error) bool {
+func mayHaveArrived(err error) bool {
 	var op *net.OpError
 	return !errors.As(err, &op) || op.Op != "dial"
 }
--- a/node/peer/gate_client.go
+++ b/node/peer/gate_client.go
@@ -91,7 +91,7 @@
 	sentAt := clock.Now()
 	resp, err := g.client.Run(ctx, connect.NewRequest(jobToProto(service, j)))
 	if err != nil {
-		return replicaset.Result{Err: &replicaset.GateError{Address: address, JobMayHaveArrived: mayHaveReached(err), Err: err}}
+		return replicaset.Result{Err: &replicaset.GateError{Address: address, JobMayHaveArrived: mayHaveArrived(err), Err: err}}
 	}
 	return resultFromProto(resp.Msg, sentAt)
 }
--- a/node/router/send.go
+++ b/node/router/send.go
@@ -66,7 +66,7 @@
 // the request was sent and may commit.
 func (r *Router) callRefusal(err error, req *request.Request) *outcome.Refusal {
 	var callErr *peer.CallError
-	sent := !errors.As(err, &callErr) || callErr.Sent
+	sent := !errors.As(err, &callErr) || callErr.MayHaveArrived
 	if sent && req.MayCommit {
 		return outcome.Refuse(outcome.UnknownOutcome, "%v", err)
 	}
--- a/node/upstream/conn.go
+++ b/node/upstream/conn.go
@@ -100,7 +100,7 @@
 }
 
 func (c *Conn) fail(sent bool, err error) error {
-	return &RunError{Member: c.target.Member, Sent: sent, Err: err}
+	return &RunError{Member: c.target.Member, MayHaveRun: sent, Err: err}
 }
 
 func (c *Conn) readAnswer() (Answer, error) {
--- a/node/upstream/errors.go
+++ b/node/upstream/errors.go
@@ -21,14 +21,13 @@
 // RunError reports a request whose answer was not read in full.
 type RunError struct {
 	Member string
-	// Sent reports whether any byte of the request may have reached the member.
-	// If it is false, the request did not run.
-	Sent bool
-	Err  error
+	// MayHaveRun is set if any byte of the request may have reached the member.
+	MayHaveRun bool
+	Err        error
 }
 
 func (e *RunError) Error() string {
-	return fmt.Sprintf("upstream %s: connection failed (request sent: %t): %v", e.Member, e.Sent, e.Err)
+	return fmt.Sprintf("upstream %s: connection failed (request sent: %t): %v", e.Member, e.MayHaveRun, e.Err)
 }
 
 func (e *RunError) Unwrap() error { return e.Err }
