--- a/node/entry/promotion_peers.go
+++ b/node/entry/promotion_peers.go
@@ -8,30 +8,30 @@
 	"github.com/dotterelswitch/dotterelswitch/node/gossip"
 )
 
-// opinion answers another host's question whether a primary is lost.
-func (h *Host) opinion(q gossip.LostQuestion) *gossip.Opinion {
+// peerReport answers another host's question whether a primary is dead.
+func (h *Host) peerReport(q gossip.LostQuestion) *gossip.Opinion {
 	p := h.promoter(q.Service)
 	if p == nil {
 		return &gossip.Opinion{}
 	}
-	o := p.Opinion(h.ctx, q.Upstream)
+	o := p.PeerReport(h.ctx, q.Upstream)
 	return &gossip.Opinion{Dead: o.Dead, Reaches: o.Reaches, StoreReached: o.StoreReached, Lock: o.Lock, Leading: o.Leading}
 }
 
 // AddressOf implements promoter.Peers.
 func (h *Host) AddressOf(host string) (string, bool) { return h.registry.AddressOf(host) }
 
-// Opinion implements promoter.Peers.
-func (h *Host) Opinion(ctx context.Context, service, primary, host string) (succession.PeerReport, bool) {
+// RequestPeerReport implements promoter.Peers.
+func (h *Host) RequestPeerReport(ctx context.Context, service, primary, host string) (succession.PeerReport, bool) {
 	address, known := h.registry.AddressOf(host)
 	if !known {
 		return succession.PeerReport{}, false
 	}
-	h.traffic.add(trafficOpinion)
+	h.traffic.add(trafficPeerReport)
 	answer, err := h.peers.Probe(ctx, address, gossip.Message{AskLost: &gossip.LostQuestion{Service: service, Upstream: primary}})
 	if err != nil || answer.Opinion == nil {
 		// A host that does not answer has no vote; the promoter asks again.
-		h.log.Debug().Err(err).Str("peer", host).Msg("opinion request failed")
+		h.log.Debug().Err(err).Str("peer", host).Msg("peer report request failed")
 		return succession.PeerReport{}, false
 	}
 	o := answer.Opinion
--- a/node/host/host.go
+++ b/node/host/host.go
@@ -1,6 +1,7 @@
-// Package host assembles an entry host from its components: the gateway for
-// callers, the router, the pools of the members it owns, gossip, and the
-// synchronization of the configuration.
+// Package host assembles an entry host for PostgreSQL callers with a key-value
+// platform: the gateway for callers, the router, the pools of the members it owns,
+// gossip, and the synchronization of the configuration. Package entry is the
+// counterpart for the users' platform.
 package host
 
 import (
@@ -71,9 +72,9 @@
 	wg           sync.WaitGroup
 	platformDown atomic.Bool
 	gatewayDone  chan error
-	// failedPeers holds the sender names of the dead hosts whose calls were
-	// failed. Only the reconcile goroutine uses it.
-	failedPeers map[string]bool
+	// cancelledPeers holds the sender names of the dead hosts whose pending calls
+	// were cancelled. Only the reconcile goroutine uses it.
+	cancelledPeers map[string]bool
 	// preparedEvents holds the events whose connections were opened. Only the
 	// reconcile goroutine uses it.
 	preparedEvents map[eventKey]bool
@@ -178,7 +179,7 @@
 	}
 }
 
-// reconcileInterval is the interval between reconciliations without a change.
+// reconcileInterval is the maximum interval between reconciliations.
 const reconcileInterval = time.Second
 
 // reconcile adjusts the pools to the hosts and the configuration.
@@ -187,7 +188,7 @@
 	defer ticker.Stop()
 	for {
 		cfg, placement, dead := h.fleet.snapshot()
-		h.failCalls(dead)
+		h.cancelCallsToDead(dead)
 		h.owner.Reconcile(cfg, placement, dead)
 		select {
 		case <-h.fleet.changed:
@@ -200,17 +201,17 @@
 	}
 }
 
-// failCalls fails the pending calls to hosts that were newly declared dead.
-func (h *Host) failCalls(dead []membership.Host) {
+// cancelCallsToDead cancels the pending calls to hosts that were newly declared dead.
+func (h *Host) cancelCallsToDead(dead []membership.Host) {
 	deadNames := make(map[string]bool, len(dead))
 	for _, deadHost := range dead {
 		deadNames[owner.SenderName(deadHost)] = true
-		if !h.failedPeers[owner.SenderName(deadHost)] {
+		if !h.cancelledPeers[owner.SenderName(deadHost)] {
 			eventlog.HostStateChanged.Warn(h.log).Str("peer", deadHost.ID).Stringer("state", deadHost.State).Send()
 			h.peers.CancelCalls(deadHost.Peer)
 		}
 	}
-	h.failedPeers = deadNames
+	h.cancelledPeers = deadNames
 }
 
 func (h *Host) reportGauges() {
--- a/node/owner/keyed.go
+++ b/node/owner/keyed.go
@@ -15,6 +15,7 @@
 	"github.com/dotterelswitch/dotterelswitch/node/upstream"
 )
 
+// sqlStateUniqueViolation is the answer to the insert of a ledger row that exists.
 const sqlStateUniqueViolation = "23505"
 
 // sendKeyed runs a request with an idempotency key and the insert of its ledger
@@ -36,8 +37,8 @@
 	return answer, nil
 }
 
-// keyedRun is the execution of one keyed request on a connection. After an error
-// the connection is dirty or in a transaction, and the pool closes it.
+// keyedRun is the execution of one keyed request on a connection. If it fails half
+// way, the connection is left dirty or in a transaction, and the pool closes it.
 type keyedRun struct {
 	ctx         context.Context
 	conn        *upstream.Conn
--- a/node/peer/gate_dial_test.go
+++ b/node/peer/gate_dial_test.go
@@ -17,8 +17,8 @@
 // makes all gates of a member unreachable. A statement that was not sent may be
 // retried elsewhere.
 func TestUnreachableGatesLeaveTimeForDirectConnection(t *testing.T) {
-	// objective is a typical latency objective of callers.
-	const objective = 500 * time.Millisecond
+	// targetLatency is a typical target latency of a route.
+	const targetLatency = 500 * time.Millisecond
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
@@ -31,10 +31,10 @@
 		for _, address := range []string{"10.0.0.1:1", "10.0.0.2:1", "10.0.0.3:1"} {
 			j := replicaset.Job{Kind: replicaset.JobWrite, Request: replicaset.Request{Deadline: clock.Now() + time.Minute}}
 			res := c.Run(ctx, address, "svc", j)
-			var gate *replicaset.GateError
-			require.ErrorAs(t, res.Err, &gate)
-			require.False(t, gate.MaybeSent, "a write that was not sent may be retried elsewhere")
+			var gateErr *replicaset.GateError
+			require.ErrorAs(t, res.Err, &gateErr)
+			require.False(t, gateErr.JobMayHaveArrived, "a write that was not sent may be retried elsewhere")
 		}
-		require.Less(t, time.Since(started), objective*4/5)
+		require.Less(t, time.Since(started), targetLatency*4/5)
 	})
 }
--- a/node/replicaset/dispatch.go
+++ b/node/replicaset/dispatch.go
@@ -8,10 +8,10 @@
 	"github.com/dotterelswitch/dotterelswitch/node/clock"
 )
 
-// dispatch runs the first step of a read, write or transaction. It uses a local
-// connection if this host is a gate of the member, and a remote gate otherwise;
-// if no gate is usable it falls back to this host. It also returns the address
-// of the gate, empty for this host.
+// dispatch runs a read, a write or the begin of a transaction. It uses a connection
+// of this host if this host is a gate of the member, and a gate on another host
+// otherwise. If no gate is usable, it falls back to this host. It also returns the
+// address of the gate; empty for this host.
 func (s *Set) dispatch(ctx context.Context, m *Member, j Job) (Result, string) {
 	j.Member = m.id
 	j.Owner = s.owner
@@ -20,8 +20,8 @@
 			continue
 		}
 		res := s.remoteRun(ctx, m, address, j)
-		gate, failed := res.gateError()
-		if failed && (!gate.MaybeSent || j.repeatable()) && ctx.Err() == nil && clock.Now() < j.Request.StartDeadline {
+		gateErr, isGateErr := res.gateError()
+		if isGateErr && (!gateErr.JobMayHaveArrived || j.repeatable()) && ctx.Err() == nil && clock.Now() < j.Request.StartDeadline {
 			continue
 		}
 		return res, address
@@ -38,19 +38,19 @@
 }
 
 // remoteRun runs a job on another host and records what the result shows about
-// the member. The start of the call is a lower bound for the time at which the
-// member was asked.
+// the member. The start of the call is used as the time at which the member was
+// asked: the actual time is unknown, and an earlier one is safe.
 func (s *Set) remoteRun(ctx context.Context, m *Member, address string, j Job) Result {
 	began := clock.Now()
 	m.remoteStarted()
 	s.gateHealth.callStarted(address, began)
-	res := s.runWatched(ctx, address, j)
-	_, failed := res.gateError()
+	res := s.runMonitored(ctx, address, j)
+	_, isGateErr := res.gateError()
 	now := clock.Now()
-	s.gateHealth.callEnded(address, !failed, now)
+	s.gateHealth.callEnded(address, !isGateErr, now)
 	m.remoteEnded(began, now, res.Answer.Signature != "")
-	if res.Err == nil && res.Proof {
-		s.observeProof(m, res.Answer.Position, began)
+	if res.Err == nil && res.ConfirmsPrimary {
+		s.confirmPrimary(m, res.Answer.Position, began)
 	}
 	s.observeRemoteFloor(res.Floor)
 	s.observeResult(m, res)
@@ -62,7 +62,7 @@
 func (s *Set) observeResult(m *Member, res Result) {
 	var refused *RefusedError
 	if errors.As(res.Err, &refused) && refused.MemberDead {
-		m.reportedDead(clock.Now())
+		m.recordReportedDead(clock.Now())
 	}
 	if res.Err != nil {
 		return
@@ -78,7 +78,7 @@
 	}
 }
 
-// stepTx runs a later step of a transaction on the host that opened it.
+// stepTx runs a job of an open transaction on the host that runs the transaction.
 func (s *Set) stepTx(ctx context.Context, m *Member, address string, j Job) Result {
 	j.Member, j.Owner = m.id, s.owner
 	if address != "" {
--- a/node/replicaset/member_pool.go
+++ b/node/replicaset/member_pool.go
@@ -55,7 +55,7 @@
 	m.nextID++
 	w.ID = m.nextID
 	if m.set.features.Enabled(feature.ShortFirst) {
-		w.ExtraExecutionTime = m.workTimes.ExtraExecutionTime(w.Kind, now)
+		w.ExtraExecutionTime = m.executionTimes.ExtraExecutionTime(w.Kind, now)
 	}
 	decision := m.pool.Acquire(*w, now)
 	switch decision.Outcome {
