--- a/core/balance/balance.go
+++ b/core/balance/balance.go
@@ -50,8 +50,8 @@
 	// writes. It exceeds the round trip between regions, so that callers in the
 	// primary's zone use remote replicas too.
 	primaryPenalty = 120 * time.Millisecond
-	// unhealthyPenalty ranks a member behind all healthy ones. It exceeds the longest
-	// wait that a queue accepts.
+	// unhealthyPenalty ranks a member that lags, is suspect or has no entry behind all
+	// others. It exceeds the longest wait that a queue accepts.
 	unhealthyPenalty = 5 * time.Second
 )
 
@@ -78,7 +78,7 @@
 		cost += unhealthyPenalty
 	}
 	if c.Suspect {
-		// A suspect member ranks behind one that only lags, which still answers.
+		// A suspect member ranks behind one that only lags and still answers.
 		cost += 2 * unhealthyPenalty
 	}
 	return cost
--- a/core/catchup/catchup.go
+++ b/core/catchup/catchup.go
@@ -15,7 +15,7 @@
 
 const (
 	// UnknownLag is the lag assumed for a replica that is below the floor by an
-	// unknown amount. It is tried again when its observation expires.
+	// unknown amount. The replica is tried again when the observation expires.
 	UnknownLag = observationTTL
 	// minRetryDelay is the least time before a lagging replica is tried again,
 	// about the normal replication lag.
@@ -36,7 +36,7 @@
 	// ObservedAt.
 	CaughtUp bool
 	// Lag is, if CaughtUp is false, how much later the primary's log reached
-	// the floor than it reached the replica's position.
+	// the floor than the replica's position.
 	Lag time.Duration
 }
 
--- a/core/classify/classify_test.go
+++ b/core/classify/classify_test.go
@@ -49,7 +49,8 @@
 	require.Equal(t, classify.Hints{Key: "k1", Class: "lookup", Unknown: []string{"colour"}}, st.Hints)
 }
 
-// FuzzClassify checks that the lexer terminates without a panic on any input.
+// FuzzClassify checks that the lexer terminates without a panic on any input, and that
+// no text with keywords or identifiers is classified as empty.
 func FuzzClassify(f *testing.F) {
 	for _, seed := range []string{"SELECT 1", "/*", "$a$", "'", `E'\`, "--", "\"", "/*/**/", "$1 $", "/* dotterelswitch: */"} {
 		f.Add(seed)
--- a/core/classify/lexer.go
+++ b/core/classify/lexer.go
@@ -2,7 +2,8 @@
 
 import "strings"
 
-// lexer extracts the tokens of a query text by PostgreSQL's lexical rules.
+// lexer extracts the keywords, unquoted identifiers and hints of a query text by
+// PostgreSQL's lexical rules.
 type lexer struct {
 	src    string
 	pos    int
@@ -57,7 +58,7 @@
 	}
 }
 
-// markNonEmpty counts the current statement, once.
+// markNonEmpty counts the current statement unless it has been counted.
 func (l *lexer) markNonEmpty() {
 	if !l.nonEmpty {
 		l.nonEmpty = true
--- a/core/conf/change.go
+++ b/core/conf/change.go
@@ -21,7 +21,7 @@
 	Drains   []Drain   `json:"drains,omitempty"`
 }
 
-// Names are the names of items, by kind.
+// Names are the names of items, by kind. Drains are identified by their kind and name.
 type Names struct {
 	Zones    []string `json:"zones,omitempty"`
 	Services []string `json:"services,omitempty"`
--- a/core/conf/diff.go
+++ b/core/conf/diff.go
@@ -2,7 +2,7 @@
 
 import "reflect"
 
-// Effect is the kind of a Difference.
+// Effect is what a change does to one item.
 type Effect uint8
 
 const (
@@ -28,7 +28,7 @@
 func (e Effect) MarshalText() ([]byte, error) { return []byte(e.String()), nil }
 
 // Diff returns the effect of putting and deleting items: one entry per item that is
-// put and one per item that is deleted, by kind in the order of the declarations.
+// put and one per item that is deleted, in the order of the fields of Items.
 func (c *Config) Diff(put Items, del Names) []Difference {
 	var out []Difference
 	out = diff(out, "zone", c.Zones, put.Zones, del.Zones, zoneName)
--- a/core/conf/merge.go
+++ b/core/conf/merge.go
@@ -14,12 +14,13 @@
 	}
 	put = slices.Clone(put)
 	slices.SortStableFunc(put, func(a, b T) int { return cmp.Compare(name(a), name(b)) })
-	removed := make(map[string]bool, len(put)+len(deleted))
+	// dropped holds the names of old items that are deleted or replaced.
+	dropped := make(map[string]bool, len(put)+len(deleted))
 	for _, n := range deleted {
-		removed[n] = true
+		dropped[n] = true
 	}
 	for _, item := range put {
-		removed[name(item)] = true
+		dropped[name(item)] = true
 	}
 	out := make([]T, 0, len(old)+len(put))
 	next := 0
@@ -28,7 +29,7 @@
 			out = append(out, put[next])
 			next++
 		}
-		if !removed[name(item)] {
+		if !dropped[name(item)] {
 			out = append(out, item)
 		}
 	}
--- a/core/connpool/idle.go
+++ b/core/connpool/idle.go
@@ -52,8 +52,8 @@
 		return 0, Waiter{}, false
 	}
 	w := p.removeWaiter(index)
-	conn, _ := p.findIdle(w)
-	return p.acquireIdle(conn), w, true
+	idleIndex, _ := p.findIdle(w)
+	return p.acquireIdle(idleIndex), w, true
 }
 
 func (p *Pool) removeWaiter(index int) Waiter {
--- a/core/connpool/late_statements_test.go
+++ b/core/connpool/late_statements_test.go
@@ -17,8 +17,8 @@
 	arrived map[uint64]time.Duration
 	// queued holds the waiting statements.
 	queued map[uint64]queuedWaiter
-	// onTime, late and refused count statements by result.
-	onTime, late, refused int
+	// withinTarget, pastTarget and refused count statements by result.
+	withinTarget, pastTarget, refused int
 }
 
 type queuedWaiter struct {
@@ -47,9 +47,9 @@
 			continue
 		}
 		if now-l.arrived[l.running[id]] <= loadTarget {
-			l.onTime++
+			l.withinTarget++
 		} else {
-			l.late++
+			l.pastTarget++
 		}
 		delete(l.ends, id)
 		if next, found := l.pool.Released(connpool.Conn{ID: id}, loadServiceTime, now); found {
@@ -125,5 +125,5 @@
 	longWait := runAlternatingLoad(t, time.Second)
 	require.Greater(t, noWait.refused, 200)
 	require.Less(t, longWait.refused, noWait.refused/4)
-	require.GreaterOrEqual(t, longWait.onTime, noWait.onTime*98/100)
+	require.GreaterOrEqual(t, longWait.withinTarget, noWait.withinTarget*98/100)
 }
--- a/core/connpool/opening.go
+++ b/core/connpool/opening.go
@@ -15,8 +15,9 @@
 }
 
 // BeginOpen returns a connection that has to be opened now and counts it as being
-// opened. Call it until it returns false. If the pool is full, an idle connection
-// of the team that is least likely to need it again is evicted.
+// opened. Call it until it returns false. If the pool is full or the member at its
+// connection limit, an idle connection of the team that is least likely to need it
+// again is evicted.
 func (p *Pool) BeginOpen(now time.Duration) (OpenRequest, bool) {
 	if now < p.backoffUntil || len(p.waiting) == 0 || !p.belowMaxActive() {
 		return OpenRequest{}, false
--- a/core/connpool/overload_test.go
+++ b/core/connpool/overload_test.go
@@ -12,7 +12,7 @@
 // simulateOverload offers a pool two and a half times the load that it can run. Statements
 // are on time while they have waited for less than waitFraction of their target. It
 // returns how many were answered within their target, and how many in total.
-func simulateOverload(t *testing.T, waitFraction float64) (onTime, served int) {
+func simulateOverload(t *testing.T, waitFraction float64) (withinTarget, served int) {
 	t.Helper()
 	const (
 		serviceTime = 15 * ms
@@ -40,7 +40,7 @@
 			if at, busy := ends[id]; busy && at <= now {
 				served++
 				if now-arrived[running[id]] <= target {
-					onTime++
+					withinTarget++
 				}
 				delete(ends, id)
 				if w, found := p.Released(connpool.Conn{ID: id}, serviceTime, now); found {
@@ -57,16 +57,16 @@
 			}
 		}
 	}
-	return onTime, served
+	return withinTarget, served
 }
 
 // TestBoundedWaitKeepsThroughput checks that, under overload, bounding the wait to half
 // of the target serves as many statements as waiting for all of it, and nearly all of
-// them on time.
+// them within their target.
 func TestBoundedWaitKeepsThroughput(t *testing.T) {
-	onTime, served := simulateOverload(t, connpool.OnTimeWaitFraction)
-	fullWaitOnTime, fullWaitServed := simulateOverload(t, 1)
+	withinTarget, served := simulateOverload(t, connpool.OnTimeWaitFraction)
+	fullWaitWithinTarget, fullWaitServed := simulateOverload(t, 1)
 	require.InDelta(t, fullWaitServed, served, float64(fullWaitServed)/50)
-	require.Greater(t, onTime, served*95/100)
-	require.Greater(t, onTime, fullWaitOnTime*12/10)
+	require.Greater(t, withinTarget, served*95/100)
+	require.Greater(t, withinTarget, fullWaitWithinTarget*12/10)
 }
--- a/core/connpool/pool.go
+++ b/core/connpool/pool.go
@@ -280,8 +280,8 @@
 
 // latestUsefulStart returns the latest time at which starting a statement is useful.
 // Response times vary, so twice the mean is reserved before the start deadline: a
-// response that comes later wastes a slot. A statement that is on time is always
-// started.
+// response after the caller's timeout wastes a slot. A statement that is on time is
+// always started.
 func (p *Pool) latestUsefulStart(w Waiter) time.Duration {
 	return max(w.OnTimeUntil, w.StartDeadline-2*p.meanResponseTime)
 }
@@ -302,7 +302,7 @@
 }
 
 // cannotServeInTime reports whether a late statement cannot be started in time
-// even if only late statements were served from now on.
+// even if no on-time statement is served before it.
 func (p *Pool) cannotServeInTime(w Waiter, now time.Duration) bool {
 	established := len(p.idle) + p.InUse()
 	if established == 0 {
--- a/core/connpool/short_first_test.go
+++ b/core/connpool/short_first_test.go
@@ -73,12 +73,13 @@
 	return short, long
 }
 
-// TestShortStatementsFirstServesMoreOnTime checks that ordering by ExtraExecutionTime
-// serves more statements on time under overload, without starving the long ones.
-func TestShortStatementsFirstServesMoreOnTime(t *testing.T) {
+// TestShortStatementsFirstServesMoreWithinTarget checks that ordering by ExtraExecutionTime
+// serves more statements within their latency target under overload, without starving
+// the long ones.
+func TestShortStatementsFirstServesMoreWithinTarget(t *testing.T) {
 	shortUnweighted, longUnweighted := mixedOverload(0)
 	short, long := mixedOverload(6 * time.Millisecond)
 	require.Greater(t, short+long, shortUnweighted+longUnweighted)
 	require.Positive(t, long, "long statements are starved")
-	t.Logf("served on time: %d short and %d long without ExtraExecutionTime, %d and %d with it", shortUnweighted, longUnweighted, short, long)
+	t.Logf("served within target: %d short and %d long without ExtraExecutionTime, %d and %d with it", shortUnweighted, longUnweighted, short, long)
 }
--- a/core/connpool/waiter.go
+++ b/core/connpool/waiter.go
@@ -30,7 +30,7 @@
 	// OnTimeUntil is when the statement becomes late. Late statements are served
 	// after all that are on time.
 	OnTimeUntil time.Duration
-	// StartDeadline is the latest time at which starting the statement is useful.
+	// StartDeadline is the latest time at which the statement may be started.
 	StartDeadline time.Duration
 	// SessionValues identifies the session values that the statement requires.
 	SessionValues string
--- a/core/directory/directory.go
+++ b/core/directory/directory.go
@@ -66,7 +66,7 @@
 	return e.StartedAt == other.StartedAt || e.StartedAt == 0 || other.StartedAt == 0
 }
 
-// GracePeriod is how long a missing entry is tolerated. It covers the two seconds in
+// GracePeriod is how long a missing entry is tolerated. It covers the two seconds within
 // which members write their entries again once the platform is back, and delivery.
 const GracePeriod = 2500 * time.Millisecond
 
@@ -150,9 +150,10 @@
 }
 
 // isFromEarlierIncarnation reports whether an entry was written by an earlier
-// incarnation. The store may execute such a write with a delay of seconds, and it must
-// not replace the current incarnation. That happens at most once, so a second entry in
-// a row with the same earlier start time comes from a member whose clock was set back.
+// incarnation, and records its start time if so. The store may execute such a write
+// with a delay of seconds, and it must not replace the current incarnation. That
+// happens at most once, so a second entry in a row with the same earlier start time
+// comes from a member whose clock was set back.
 func (m *Member) isFromEarlierIncarnation(e Entry) bool {
 	if e.StartedAt == 0 || e.StartedAt >= m.StartedAt || e.StartedAt == m.earlierStart && e.Revision > m.Revision {
 		return false
--- a/core/directory/restored_test.go
+++ b/core/directory/restored_test.go
@@ -108,15 +108,15 @@
 	require.False(t, d.Members()[0].Primary, "a second entry cannot be the restored one")
 }
 
-// TestLateWriteOfSameIncarnationIsIgnored covers a call without a response that the
+// TestDelayedWriteOfSameIncarnationIsIgnored covers a call without a response that the
 // store executes seconds later, after newer ones.
-func TestLateWriteOfSameIncarnationIsIgnored(t *testing.T) {
+func TestDelayedWriteOfSameIncarnationIsIgnored(t *testing.T) {
 	d := directory.New()
 	leaving := entryAt(t, 1, 300, 9)
 	leaving.Leaving, leaving.StartedAt = true, 500
 	d.Put(leaving, 0)
-	late := entryAt(t, 1, 301, 8)
-	late.StartedAt = 500
-	require.False(t, d.Put(late, time.Second))
+	delayed := entryAt(t, 1, 301, 8)
+	delayed.StartedAt = 500
+	require.False(t, d.Put(delayed, time.Second))
 	require.True(t, d.Members()[0].Leaving)
 }
--- a/core/exectime/exectime.go
+++ b/core/exectime/exectime.go
@@ -31,17 +31,17 @@
 }
 
 // Observe records the response time of a statement of the given kind.
-func (t *Times) Observe(kind string, took, now time.Duration) {
+func (t *Times) Observe(kind string, responseTime, now time.Duration) {
 	if t.kinds == nil {
 		t.kinds = map[string]decayedMean{}
 	}
 	m, found := t.kinds[kind]
 	if !found {
-		t.kinds[kind] = decayedMean{value: took, updatedAt: now}
+		t.kinds[kind] = decayedMean{value: responseTime, updatedAt: now}
 		return
 	}
 	weight := 1 - math.Exp(-float64(now-m.updatedAt)/float64(decayTime))
-	m.value += time.Duration(weight * float64(took-m.value))
+	m.value += time.Duration(weight * float64(responseTime-m.value))
 	m.updatedAt = now
 	t.kinds[kind] = m
 }
--- a/core/feature/feature.go
+++ b/core/feature/feature.go
@@ -86,7 +86,7 @@
 	return out
 }
 
-// UnknownError reports a name that no feature has.
+// UnknownError reports an unknown feature name.
 type UnknownError struct{ Name string }
 
 func (e *UnknownError) Error() string {
@@ -94,7 +94,7 @@
 	for _, n := range All() {
 		known = append(known, string(n))
 	}
-	return fmt.Sprintf("unknown mechanism %q; known mechanisms: %s", e.Name, strings.Join(known, ", "))
+	return fmt.Sprintf("unknown feature %q; known features: %s", e.Name, strings.Join(known, ", "))
 }
 
 // Parse returns the features with the named ones disabled. Its error is an
--- a/core/fresh/floors.go
+++ b/core/fresh/floors.go
@@ -44,8 +44,8 @@
 func (f *Floors) Observe(p logpos.Position, sent time.Duration) { f.ObserveInTerm(p.Term, p, sent) }
 
 // ObserveInTerm records a position from an exchange, sent at the given time,
-// that confirmed the answering member as the primary of a term. The position
-// has an older term until a new primary has written. A newer term drops all
+// that confirmed the answering member as the primary of a term. Until a new
+// primary has written, its position is of an older term. A newer term drops all
 // earlier samples: the promotion may have rolled back what they cover, and a
 // read that required it would never be served.
 func (f *Floors) ObserveInTerm(term logpos.Term, p logpos.Position, sent time.Duration) {
--- a/core/gates/plan.go
+++ b/core/gates/plan.go
@@ -85,7 +85,8 @@
 	return max(p.activeConnections(m), p.connections-reservedPerSlot*m.Slots)
 }
 
-// EvenShare returns a host's share if every host has connections of its own.
+// EvenShare returns a host's share if the connections are divided evenly among all
+// hosts.
 func (p Plan) EvenShare() Share {
 	each := max(p.connections/max(p.fleet.Size(), 1), 1)
 	return gateShare(each, each)
@@ -97,7 +98,7 @@
 	return Share{Limits: connpool.Limits{MaxOpen: connections, MaxActive: maxActive, FairShare: connections, MaxWaiting: maxWaiting}}
 }
 
-// For returns the share of the named host in a member.
+// For returns the named host's share of a member's connections.
 func (p Plan) For(m Member, host string) Share {
 	return p.share(m, host, p.fleet.nearestHosts(m, p.gateCount(m)))
 }
@@ -107,31 +108,32 @@
 	return min(max(p.activeConnections(m)/minConnectionsPerGate, 1), p.fleet.Size())
 }
 
-// share returns the share of the named host in a member with the given gates.
+// share returns the named host's share of the connections of a member with the given
+// gates.
 func (p Plan) share(m Member, host string, top *membership.TopHosts) Share {
 	activeConnections := p.activeConnections(m)
 	count := top.Size()
 	if count == 0 {
-		// No host is known, not even this one, so that all connections are its own.
+		// No host is known, not even this one, so it may use all connections.
 		return Share{Limits: connpool.Limits{MaxOpen: activeConnections, FairShare: 1, MaxWaiting: maxWaiting}}
 	}
 	each := max(activeConnections/count, 1)
-	chosen := p.fleet.hostsByName(top.Names())
+	gateHosts := p.fleet.hostsByName(top.Names())
 	if top.Contains(host) {
 		share := gateShare(max(p.pooledConnections(m)/count, each), each)
-		share.GateHosts = chosen
+		share.GateHosts = gateHosts
 		return share
 	}
 	// FairShare is zero, so that idle direct connections are closed soon.
 	return Share{
 		Limits:        connpool.Limits{MaxOpen: min(maxDirectConnections, each), MaxWaiting: maxWaiting},
-		GateAddresses: rankedAddresses(chosen, m.ID, host), GateHosts: chosen,
+		GateAddresses: rankedAddresses(gateHosts, m.ID, host), GateHosts: gateHosts,
 	}
 }
 
 // GateRoute returns the addresses to which one host sends a team's statements for a
-// member, in order of preference. It ends where the host itself ranks, and is empty if
-// the host comes first.
+// member, in order of preference. It ends before the host itself if that is a gate, and
+// is empty if the host ranks first.
 //
 // A connection serves one team, and there may be more teams than connections. Sending
 // all statements of a team to the same gate lets the gates together pool connections
@@ -151,9 +153,9 @@
 
 // rankedAddresses orders a member's gates for one host, so that the hosts that are not
 // gates spread over them.
-func rankedAddresses(chosen []Host, member, host string) []string {
-	out := make([]string, 0, len(chosen))
-	for _, h := range membership.RankBy(member+"\x00"+host, chosen, hostName) {
+func rankedAddresses(gateHosts []Host, member, host string) []string {
+	out := make([]string, 0, len(gateHosts))
+	for _, h := range membership.RankBy(member+"\x00"+host, gateHosts, hostName) {
 		out = append(out, h.Address)
 	}
 	return out
--- a/core/gates/share_cache.go
+++ b/core/gates/share_cache.go
@@ -2,9 +2,9 @@
 
 import "github.com/dotterelswitch/dotterelswitch/core/membership"
 
-// ShareCache caches one host's shares in the members of a service. When the fleet
-// changes, only the shares that the change affects are recomputed (BenchmarkShares). It
-// is not safe for concurrent use.
+// ShareCache caches one host's shares of the connections of a service's members. When
+// the fleet changes, only the shares that the change affects are recomputed
+// (BenchmarkShares). It is not safe for concurrent use.
 type ShareCache struct {
 	host string
 	// generation is the generation of the fleet that the rankings were computed from.
@@ -12,7 +12,8 @@
 	byMember   map[string]*cachedShare
 }
 
-// cachedShare is the cached share in one member and the inputs it was computed from.
+// cachedShare is the cached share of one member's connections and the inputs it was
+// computed from.
 type cachedShare struct {
 	member Member
 	// connections is how many connections the member accepted.
@@ -28,7 +29,7 @@
 	return &ShareCache{host: host, byMember: map[string]*cachedShare{}}
 }
 
-// For returns the host's share in a member, equal to that of the plan.
+// For returns the host's share of a member's connections, equal to that of the plan.
 func (s *ShareCache) For(p Plan, m Member) Share {
 	s.update(p.fleet)
 	c, found := s.byMember[m.ID]
--- a/core/membership/roster.go
+++ b/core/membership/roster.go
@@ -152,7 +152,7 @@
 }
 
 // ProbeRefused records a probe that was actively refused by the host's machine: the
-// process of that incarnation is gone, so it is dead without a suspicion period.
+// process of that incarnation has ended, so it is dead without a suspicion period.
 func (r *Roster) ProbeRefused(id string, incarnation uint64, now time.Duration) {
 	rec, found := r.hosts[id]
 	if !found || rec.host.Incarnation != incarnation {
--- a/core/quota/counter.go
+++ b/core/quota/counter.go
@@ -34,10 +34,9 @@
 	return &Counter{tolerance: t, accrueFrom: now, teams: map[string]*bucket{}}
 }
 
-// TakeOver records that this host may have become a counter of teams that another host
-// counted before, because that host left or this one joined. Tokens that accrued until
-// now may already have been granted by the other host, so buckets of new teams start
-// empty.
+// TakeOver records that this host may have replaced another host as a counter of some
+// teams, because that host left or this one joined. Tokens that accrued until now may
+// already have been granted by the other host, so buckets of new teams start empty.
 func (c *Counter) TakeOver(now time.Duration) { c.accrueFrom = now }
 
 // Acquire grants operations of a team from this host's share of the team's limit, which
--- a/core/quota/doc.go
+++ b/core/quota/doc.go
@@ -37,5 +37,5 @@
 //
 // The bound does not hold while hosts disagree about which hosts are registered: two
 // hosts may act as the counter of a region until a registration has propagated. A host
-// that knows no registered host counts by itself.
+// that knows no registered host acts as the only counter.
 package quota
--- a/core/retry/budget.go
+++ b/core/retry/budget.go
@@ -19,7 +19,7 @@
 // RecordAttempt credits the budget for a first attempt.
 func (b *Budget) RecordAttempt() { b.tokens = min(b.tokens+b.ratio, b.reserve) }
 
-// TryRetry consumes a token and returns true if a retry is allowed.
+// TryRetry consumes a token if one is left, and reports whether a retry is allowed.
 func (b *Budget) TryRetry() bool {
 	if b.tokens < 1 {
 		return false
--- a/core/roster/roster.go
+++ b/core/roster/roster.go
@@ -37,7 +37,7 @@
 // ReregistrationSpread returns the time over which the hosts of a fleet of the given
 // size spread their registrations after a restore. If all hosts registered at their
 // next renewal, a large fleet would exceed the store's rate limit, and rejected hosts
-// would be considered gone.
+// would be removed from the fleet.
 func ReregistrationSpread(hosts int) time.Duration {
 	return time.Duration(hosts) * reregisterSpreadPerHost
 }
--- a/core/succession/succession_test.go
+++ b/core/succession/succession_test.go
@@ -136,19 +136,18 @@
 	require.Empty(t, tracker.Primary())
 }
 
-// TestDeniedClaimRestoresConfirmedPrimary covers a stale directory entry, written
-// late by the store, of a member that no longer exists and claims to be the
-// primary.
+// TestDeniedClaimRestoresConfirmedPrimary covers a delayed write of the directory
+// entry of a member that no longer exists, in which it claims to be the primary.
 func TestDeniedClaimRestoresConfirmedPrimary(t *testing.T) {
 	var tracker succession.PrimaryTracker
 	tracker.ConfirmLeadership("a", 3)
-	tracker.ObserveClaim("gone", 20)
-	require.Equal(t, "gone", tracker.Primary(), "a newer claim is accepted before it is confirmed")
-	tracker.ObserveDenial("gone")
+	tracker.ObserveClaim("former", 20)
+	require.Equal(t, "former", tracker.Primary(), "a newer claim is accepted before it is confirmed")
+	tracker.ObserveDenial("former")
 	require.Equal(t, "a", tracker.Primary())
-	tracker.ObserveClaim("gone", 21)
+	tracker.ObserveClaim("former", 21)
 	tracker.ObserveDenial("a")
-	tracker.ObserveDenial("gone")
+	tracker.ObserveDenial("former")
 	require.Empty(t, tracker.Primary(), "a denial ends the confirmation")
 }
 
@@ -162,9 +161,9 @@
 	require.Equal(t, "a", tracker.Primary())
 	tracker.ObservePeerConfirmation("c", 4)
 	require.Equal(t, "c", tracker.Primary())
-	tracker.ObserveClaim("gone", 9)
+	tracker.ObserveClaim("former", 9)
 	tracker.ObserveResignation("c")
-	tracker.ObserveDenial("gone")
+	tracker.ObserveDenial("former")
 	require.Empty(t, tracker.Primary())
 	tracker.ObservePeerConfirmation("c", 4)
 	require.Equal(t, "c", tracker.Primary())
--- a/standin/dbgroup/execute.go
+++ b/standin/dbgroup/execute.go
@@ -62,7 +62,7 @@
 
 func (x *executor) begin(st *beginStmt) (*result, error) {
 	if x.txn == nil {
-		readOnly := strings.Contains(strings.ToUpper(strings.Join(st.Words, " ")), "READ ONLY")
+		readOnly := strings.Contains(strings.ToUpper(strings.Join(st.Modes, " ")), "READ ONLY")
 		x.txn = &txn{readOnly: readOnly}
 	}
 	return &result{tag: "BEGIN"}, nil
--- a/standin/dbgroup/sql.go
+++ b/standin/dbgroup/sql.go
@@ -26,7 +26,7 @@
 
 type beginStmt struct {
 	Begin string   `parser:"@( 'BEGIN' | 'START' )"`
-	Words []string `parser:"@Ident*"`
+	Modes []string `parser:"@Ident*"`
 }
 
 type setStmt struct {
