--- a/core/conf/tracker.go
+++ b/core/conf/tracker.go
@@ -1,6 +1,6 @@
 package conf
 
-// maxRecentChanges bounds the changes kept for hosts with an older version. A host
+// maxRecentChanges bounds the changes retained for hosts with an older version. A host
 // that needs older changes has to fetch a snapshot.
 const maxRecentChanges = 256
 
@@ -56,7 +56,7 @@
 }
 
 // Since returns the changes after a version, or false if some of them are no
-// longer kept.
+// longer retained.
 func (t *Tracker) Since(version uint64) ([]Change, bool) {
 	if version >= t.current.Version {
 		return nil, true
--- a/core/directory/restored_entry.go
+++ b/core/directory/restored_entry.go
@@ -13,7 +13,7 @@
 }
 
 // outdated reports whether an entry is older than the known one, because it was
-// restored from a backup or is a delayed write.
+// restored from a backup or is a delayed write. It records a restored entry.
 func (r *restoredEntry) outdated(known, e Entry) bool {
 	if e.Sequence >= known.Sequence || !known.SameIncarnation(e) {
 		return false
--- a/core/gates/plan_bench_test.go
+++ b/core/gates/plan_bench_test.go
@@ -7,8 +7,8 @@
 	"github.com/dotterelswitch/dotterelswitch/core/gates"
 )
 
-// BenchmarkPlan computes one host's shares in all members of a deployment, as a host
-// does at its start.
+// BenchmarkPlan computes one host's shares of the connections of all members of a
+// deployment, as a host does at its start.
 func BenchmarkPlan(b *testing.B) {
 	for _, size := range []struct{ hosts, services int }{{30, 4}, {300, 20}, {5000, 20}} {
 		b.Run(fmt.Sprintf("%d hosts, %d services", size.hosts, size.services), func(b *testing.B) {
@@ -42,8 +42,8 @@
 	return hosts, regionOf
 }
 
-// BenchmarkShares has one host leave and rejoin, and computes the shares in all members
-// after each change.
+// BenchmarkShares has one host leave and rejoin, and computes another host's shares of
+// the connections of all members after each change.
 func BenchmarkShares(b *testing.B) {
 	for _, size := range []struct{ hosts, services int }{{30, 4}, {300, 20}, {5000, 1000}} {
 		b.Run(fmt.Sprintf("%d hosts, %d services", size.hosts, size.services), func(b *testing.B) {
--- a/core/group/cluster_test.go
+++ b/core/group/cluster_test.go
@@ -210,9 +210,9 @@
 // promote checks that a term has one primary, and that a new primary has every
 // write acknowledged so far.
 func (c *cluster) promote(target *modelMember, m message) bool {
-	was := target.primary
+	wasPrimary := target.primary
 	done := target.promote(m.action.Term, m.host)
-	if !done || was {
+	if !done || wasPrimary {
 		return done
 	}
 	if other, taken := c.primaryOf[m.action.Term]; taken && other != target.name {
@@ -287,10 +287,10 @@
 // committed. A primary of an older term than the confirming one may lack the
 // write, since it can no longer confirm anything.
 func (c *cluster) acknowledge() {
-	kept := c.pending[:0]
+	remaining := c.pending[:0]
 	for _, p := range c.pending {
 		if c.hosts[p.host].View().EntryState(p.position) != group.Committed {
-			kept = append(kept, p)
+			remaining = append(remaining, p)
 			continue
 		}
 		by, _ := c.hosts[p.host].View().Primary()
@@ -301,7 +301,7 @@
 		}
 		c.acked = append(c.acked, ackedWrite{position: p.position, term: by.GrantedTerm, at: c.now})
 	}
-	c.pending = kept
+	c.pending = remaining
 }
 
 // checkFreshness checks that a member which a host takes to be fresh as of some
--- a/core/membership/roster.go
+++ b/core/membership/roster.go
@@ -9,10 +9,10 @@
 )
 
 // retransmitFactor times the binary logarithm of the fleet size is the number of
-// messages on which a host sends a rumour.
+// messages with which a host sends a rumour.
 const retransmitFactor = 3
 
-// maxRumoursPerMessage bounds the rumours on one message.
+// maxRumoursPerMessage bounds the rumours in one message.
 const maxRumoursPerMessage = 8
 
 // Roster is one host's view of the fleet. It is not safe for concurrent use.
--- a/core/quota/fleet_test.go
+++ b/core/quota/fleet_test.go
@@ -30,7 +30,7 @@
 	noneBroken brokenRule = ""
 	// allowanceRefillsWithTime restores a host's allowance once a second.
 	allowanceRefillsWithTime brokenRule = "a host's allowance is restored with time"
-	// lateResponsesUsed admits operations from responses that arrive late.
+	// lateResponsesUsed admits operations from late and duplicate responses.
 	lateResponsesUsed brokenRule = "a late or duplicate response is used"
 	// unconfirmedAfterStart lets a host run operations unconfirmed right after its
 	// start.
