--- a/core/membership/roster.go
+++ b/core/membership/roster.go
@@ -9,10 +9,10 @@
 )
 
 // retransmitFactor times the binary logarithm of the fleet size is the number of
-// messages on which a host sends a rumour.
+// messages with which a host sends a rumour.
 const retransmitFactor = 3
 
-// maxRumoursPerMessage bounds the rumours on one message.
+// maxRumoursPerMessage bounds the rumours in one message.
 const maxRumoursPerMessage = 8
 
 // Roster is one host's view of the fleet. It is not safe for concurrent use.
@@ -152,7 +152,7 @@
 }
 
 // ProbeRefused records a probe that was actively refused by the host's machine: the
-// process of that incarnation is gone, so it is dead without a suspicion period.
+// process of that incarnation has ended, so it is dead without a suspicion period.
 func (r *Roster) ProbeRefused(id string, incarnation uint64, now time.Duration) {
 	rec, found := r.hosts[id]
 	if !found || rec.host.Incarnation != incarnation {
