--- a/node/cmd/dotterelswitch/platform.go
+++ b/node/cmd/dotterelswitch/platform.go
@@ -30,7 +30,7 @@
 	workers     int
 	logLevel    string
 	callTimeout time.Duration
-	// disabledFeatures are disabled to measure their benefit.
+	// disabledFeatures are the names given with --without.
 	disabledFeatures []string
 }
 
--- a/node/edge/edge.go
+++ b/node/edge/edge.go
@@ -1,5 +1,6 @@
 // Package edge serves callers whose protocol carries one statement per message, as
 // on the users' platform; package gateway serves PostgreSQL callers.
+//
 // The gnet event loops read and decode messages; a bounded worker pool runs the
 // sessions with pending messages, at most one worker per session.
 package edge
--- a/node/edge/query.go
+++ b/node/edge/query.go
@@ -118,6 +118,8 @@
 		return s.refuseOperation(st, retryAfter)
 	}
 	out := s.startOperation(set, req)
+	// A busy answer without a member's signature is from this proxy: no member ran
+	// the operation.
 	if out.Answer.Code == statement.Busy && out.Answer.Signature == "" && s.tx == nil {
 		s.gateway.backend.RefundOperation(s.team)
 	}
@@ -126,16 +128,16 @@
 
 // startOperation runs a statement outside a transaction, or the first statement
 // of a transaction that needs a member.
-func (s *caller) startOperation(set *replicaset.Set, w replicaset.Request) replicaset.Outcome {
+func (s *caller) startOperation(set *replicaset.Set, req replicaset.Request) replicaset.Outcome {
 	if s.session.State == statement.InTransaction {
-		return s.runInTransaction(set, w)
+		return s.runInTransaction(set, req)
 	}
-	if w.Statement.Writes() {
-		out := set.Write(s.ctx, w)
+	if req.Statement.Writes() {
+		out := set.Write(s.ctx, req)
 		s.recordCommit(out.Answer)
 		return out
 	}
-	return set.Read(s.ctx, w)
+	return set.Read(s.ctx, req)
 }
 
 // refuseOperation refuses an operation that exceeds the team's limit.
--- a/node/entry/entry.go
+++ b/node/entry/entry.go
@@ -67,7 +67,7 @@
 	MaxConfigApplyTime time.Duration
 	// QuotaTolerance is by how much teams may exceed their limits.
 	QuotaTolerance quota.Tolerance
-	// Features has the disabled features of disabled.
+	// Features tells which features are disabled.
 	Features feature.Set
 }
 
--- a/node/entry/peers.go
+++ b/node/entry/peers.go
@@ -96,10 +96,10 @@
 func (h *Host) handlePeerMessage(m gossip.Message) gossip.Message {
 	now := clock.Now()
 	var out gossip.Message
-	if q := m.AskLost; q != nil {
-		out.Opinion = h.peerReport(*q)
+	if q := m.PeerReportRequest; q != nil {
+		out.PeerReport = h.peerReport(*q)
 	}
-	if l := m.Lead; l != nil {
+	if l := m.Leadership; l != nil {
 		if s := h.Set(l.Service); s != nil {
 			s.ObserveLeadership(replicaset.Leadership{Primary: l.Primary, Term: l.Term})
 		}
--- a/node/entry/promotion_peers.go
+++ b/node/entry/promotion_peers.go
@@ -8,14 +8,14 @@
 	"github.com/dotterelswitch/dotterelswitch/node/gossip"
 )
 
-// peerReport answers another host's question whether a primary is dead.
-func (h *Host) peerReport(q gossip.LostQuestion) *gossip.Opinion {
+// peerReport answers another host's request for a report on a primary.
+func (h *Host) peerReport(q gossip.PeerReportRequest) *gossip.PeerReport {
 	p := h.promoter(q.Service)
 	if p == nil {
-		return &gossip.Opinion{}
+		return &gossip.PeerReport{}
 	}
-	o := p.PeerReport(h.ctx, q.Upstream)
-	return &gossip.Opinion{Dead: o.Dead, Reaches: o.Reaches, StoreReached: o.StoreReached, Lock: o.Lock, Leading: o.Leading}
+	report := p.PeerReport(h.ctx, q.Upstream)
+	return &gossip.PeerReport{Dead: report.Dead, Reaches: report.Reaches, StoreReached: report.StoreReached, Lock: report.Lock, Leading: report.Leading}
 }
 
 // AddressOf implements promoter.Peers.
@@ -28,19 +28,19 @@
 		return succession.PeerReport{}, false
 	}
 	h.traffic.add(trafficPeerReport)
-	answer, err := h.peers.Probe(ctx, address, gossip.Message{AskLost: &gossip.LostQuestion{Service: service, Upstream: primary}})
-	if err != nil || answer.Opinion == nil {
+	answer, err := h.peers.Probe(ctx, address, gossip.Message{PeerReportRequest: &gossip.PeerReportRequest{Service: service, Upstream: primary}})
+	if err != nil || answer.PeerReport == nil {
 		// A host that does not answer has no vote; the promoter asks again.
 		h.log.Debug().Err(err).Str("peer", host).Msg("peer report request failed")
 		return succession.PeerReport{}, false
 	}
-	o := answer.Opinion
-	return succession.PeerReport{Host: host, Dead: o.Dead, Reaches: o.Reaches, StoreReached: o.StoreReached, Lock: o.Lock, Leading: o.Leading}, true
+	report := answer.PeerReport
+	return succession.PeerReport{Host: host, Dead: report.Dead, Reaches: report.Reaches, StoreReached: report.StoreReached, Lock: report.Lock, Leading: report.Leading}, true
 }
 
 // Announce implements promoter.Peers.
 func (h *Host) Announce(service, primary string, term logpos.Term) {
-	lead := &gossip.Lead{Service: service, Primary: primary, Term: term}
+	leadership := &gossip.Leadership{Service: service, Primary: primary, Term: term}
 	for _, other := range h.registry.Fleet() {
 		if other.Name == h.settings.Host {
 			continue
@@ -49,7 +49,7 @@
 			ctx, cancel := context.WithTimeout(h.ctx, peerQueryTimeout)
 			defer cancel()
 			h.traffic.add(trafficAnnouncement)
-			if _, err := h.peers.Probe(ctx, other.Address, gossip.Message{Lead: lead}); err != nil {
+			if _, err := h.peers.Probe(ctx, other.Address, gossip.Message{Leadership: leadership}); err != nil {
 				// The host learns of the promotion from the store or the next floor.
 				h.log.Debug().Err(err).Str("peer", other.Name).Msg("promotion announcement failed")
 			}
--- a/node/gateway/gateway.go
+++ b/node/gateway/gateway.go
@@ -1,7 +1,8 @@
 // Package gateway serves callers over the PostgreSQL protocol, version 3; package
 // edge serves the callers of the users' platform. It is unrelated to the gates of
-// replicaset. The
-// gnet event loops read and frame messages; a bounded worker pool runs the
+// replicaset.
+//
+// The gnet event loops read and frame messages; a bounded worker pool runs the
 // sessions with pending messages, at most one worker per session.
 package gateway
 
--- a/node/gossip/message.go
+++ b/node/gossip/message.go
@@ -29,12 +29,13 @@
 	AskFloors []string
 	// Floors answers AskFloors.
 	Floors []Floor
-	// AskLost asks whether the receiver considers a primary dead; nil if unused.
-	AskLost *LostQuestion
-	// Opinion answers AskLost.
-	Opinion *Opinion
-	// Lead announces a promotion run by the sender; nil if unused.
-	Lead *Lead
+	// PeerReportRequest asks whether the receiver considers a primary dead; nil if
+	// unused.
+	PeerReportRequest *PeerReportRequest
+	// PeerReport answers PeerReportRequest.
+	PeerReport *PeerReport
+	// Leadership announces a promotion run by the sender; nil if unused.
+	Leadership *Leadership
 	// QuotaRequest asks the receiver to grant operations; nil if unused.
 	QuotaRequest *QuotaRequest
 	// Grant answers a QuotaRequest.
@@ -47,17 +48,18 @@
 	Operations int
 }
 
-// Lead names the primary of a service and its term.
-type Lead struct {
+// Leadership names the primary of a service and its term.
+type Leadership struct {
 	Service, Primary string
 	Term             logpos.Term
 }
 
-// LostQuestion names a primary that the sender considers dead.
-type LostQuestion struct{ Service, Upstream string }
+// PeerReportRequest names a primary that the sender considers dead and asks for the
+// receiver's view of it.
+type PeerReportRequest struct{ Service, Upstream string }
 
-// Opinion is a host's view of a primary that another host considers dead.
-type Opinion struct {
+// PeerReport is a host's view of a primary that another host considers dead.
+type PeerReport struct {
 	Dead bool
 	// Reaches is set if the primary answered the host recently.
 	Reaches bool
@@ -113,7 +115,7 @@
 		Sequence: m.Sequence, Answer: m.Answer, Self: hostToProto(m.Self),
 		Rumours: hostsToProto(m.Rumours), ConfigVersion: m.ConfigVersion,
 		AskFloors: m.AskFloors, Floors: floorsToProto(m.Floors),
-		AskLost: lostQuestionToProto(m.AskLost), Opinion: opinionToProto(m.Opinion), Lead: leadToProto(m.Lead),
+		AskLost: peerReportRequestToProto(m.PeerReportRequest), Opinion: peerReportToProto(m.PeerReport), Lead: leadershipToProto(m.Leadership),
 		QuotaRequest: quotaRequestToProto(m.QuotaRequest), Grant: grantToProto(m.Grant),
 	})
 	if err != nil {
@@ -147,13 +149,13 @@
 		m.Floors = append(m.Floors, floorFromProto(f))
 	}
 	if q := p.GetAskLost(); q != nil {
-		m.AskLost = &LostQuestion{Service: q.GetService(), Upstream: q.GetUpstream()}
+		m.PeerReportRequest = &PeerReportRequest{Service: q.GetService(), Upstream: q.GetUpstream()}
 	}
 	if o := p.GetOpinion(); o != nil {
-		m.Opinion = &Opinion{Dead: o.GetDead(), Reaches: o.GetReaches(), StoreReached: o.GetStoreReached(), Lock: o.GetLock(), Leading: o.GetLeading()}
+		m.PeerReport = &PeerReport{Dead: o.GetDead(), Reaches: o.GetReaches(), StoreReached: o.GetStoreReached(), Lock: o.GetLock(), Leading: o.GetLeading()}
 	}
 	if l := p.GetLead(); l != nil {
-		m.Lead = &Lead{Service: l.GetService(), Primary: l.GetPrimary(), Term: logpos.Term(l.GetTerm())}
+		m.Leadership = &Leadership{Service: l.GetService(), Primary: l.GetPrimary(), Term: logpos.Term(l.GetTerm())}
 	}
 	if q := p.GetQuotaRequest(); q != nil {
 		m.QuotaRequest = &QuotaRequest{Team: q.GetTeam(), Operations: int(q.GetOperations())}
@@ -178,21 +180,21 @@
 	return &peerpb.QuotaGrant{Granted: uint32(g.Granted), RetryAfterUs: g.RetryAfter.Microseconds()}
 }
 
-func leadToProto(l *Lead) *peerpb.Lead {
+func leadershipToProto(l *Leadership) *peerpb.Lead {
 	if l == nil {
 		return nil
 	}
 	return &peerpb.Lead{Service: l.Service, Primary: l.Primary, Term: uint64(l.Term)}
 }
 
-func lostQuestionToProto(q *LostQuestion) *peerpb.LostQuestion {
+func peerReportRequestToProto(q *PeerReportRequest) *peerpb.LostQuestion {
 	if q == nil {
 		return nil
 	}
 	return &peerpb.LostQuestion{Service: q.Service, Upstream: q.Upstream}
 }
 
-func opinionToProto(o *Opinion) *peerpb.Opinion {
+func peerReportToProto(o *PeerReport) *peerpb.Opinion {
 	if o == nil {
 		return nil
 	}
--- a/node/host/config_sync.go
+++ b/node/host/config_sync.go
@@ -166,8 +166,8 @@
 	}
 }
 
-// applyChangeJSON puts a JSON-encoded change in force. It reports whether this
-// or a newer version is in force afterwards.
+// applyChangeJSON activates a JSON-encoded change. It reports whether this or a
+// newer version is active afterwards.
 func (h *Host) applyChangeJSON(data []byte) bool {
 	var ch conf.Change
 	if err := json.Unmarshal(data, &ch); err != nil {
--- a/node/host/config_test.go
+++ b/node/host/config_test.go
@@ -16,7 +16,7 @@
 )
 
 // BenchmarkConfigInForce measures the time from acceptance of a change until it is
-// in force on all eight hosts, with the platform available, slow, or unavailable
+// active on all eight hosts, with the platform available, slow, or unavailable
 // after acceptance; in the last case the change is offered to one host directly.
 func BenchmarkConfigInForce(b *testing.B) {
 	for _, tc := range []struct {
--- a/node/host/credential_test.go
+++ b/node/host/credential_test.go
@@ -25,7 +25,7 @@
 	return pgx.ConnectConfig(ctx, cfg)
 }
 
-// submitTeams submits teams and waits until they are in force on all hosts.
+// submitTeams submits teams and waits until they are active on all hosts.
 func (d *deployment) submitTeams(id string, teams ...conf.Team) {
 	d.t.Helper()
 	store := confstore.New(consul.NewClient(d.env.Platform.Addr(), (&net.Dialer{}).DialContext))
--- a/node/host/fleet.go
+++ b/node/host/fleet.go
@@ -11,7 +11,7 @@
 	"github.com/dotterelswitch/dotterelswitch/node/eventlog"
 )
 
-// fleet holds the known hosts and the configuration in force. It is safe for
+// fleet holds the known hosts and the active configuration. It is safe for
 // concurrent use; the lock is never held during I/O.
 type fleet struct {
 	startedAt time.Time
@@ -103,12 +103,12 @@
 	return f.tracker.Current()
 }
 
-// offerChange puts a change in force if it is valid and the next version.
+// offerChange activates a change if it is valid and the next version.
 func (f *fleet) offerChange(ch conf.Change) error {
 	return f.offerToTracker(func(t *conf.Tracker) (bool, error) { return t.OfferChange(ch) })
 }
 
-// offerSnapshot puts a configuration in force if it is valid and newer.
+// offerSnapshot activates a configuration if it is valid and newer.
 func (f *fleet) offerSnapshot(cfg *conf.Config) error {
 	return f.offerToTracker(func(t *conf.Tracker) (bool, error) { return t.OfferSnapshot(cfg) })
 }
@@ -131,8 +131,8 @@
 	return err
 }
 
-// changesSince returns the changes above a version and the configuration in
-// force. It returns false if the changes are incomplete and a snapshot is needed.
+// changesSince returns the changes above a version and the active configuration. It
+// returns false if the changes are incomplete and a snapshot is needed.
 func (f *fleet) changesSince(version uint64) ([]conf.Change, bool, *conf.Config) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/node/host/host.go
+++ b/node/host/host.go
@@ -82,7 +82,7 @@
 }
 
 // Start starts a host. It returns once the listeners accept connections; use
-// Ready to learn whether a configuration is in force.
+// Ready to learn whether a configuration is active.
 func Start(opts Options) (*Host, error) {
 	if opts.Dial == nil {
 		opts.Dial = (&net.Dialer{}).DialContext
@@ -265,14 +265,14 @@
 // Cancel implements peer.Handler.
 func (h *Host) Cancel(sender string, id uint64) { h.owner.Cancel(sender, id) }
 
-// Ready reports whether a configuration is in force.
+// Ready reports whether a configuration is active.
 func (h *Host) Ready() bool { return h.fleet.Config().Version > 0 }
 
 // KnownHosts returns the number of serving hosts known to this one, itself
 // included and drained hosts excluded.
 func (h *Host) KnownHosts() int { return len(h.fleet.Placement().Hosts()) }
 
-// ConfigVersion returns the version of the configuration in force on this host.
+// ConfigVersion returns the version of the active configuration on this host.
 func (h *Host) ConfigVersion() uint64 { return h.fleet.Config().Version }
 
 // Owned returns the members whose pools this host serves.
--- a/node/limits/limiter_test.go
+++ b/node/limits/limiter_test.go
@@ -186,7 +186,7 @@
 }
 
 // TestRestartedHostGrantsAllowanceSinceStart compares a host whose registration survived
-// its restart with one that joins anew. The latter takes over from a counter that may
+// its restart with one that joins for the first time. The latter takes over from a counter that may
 // have granted the whole allowance already.
 func TestRestartedHostGrantsAllowanceSinceStart(t *testing.T) {
 	require.Greater(t, grantedAfterJoining(true), 2*grantedAfterJoining(false))
--- a/node/owner/pool.go
+++ b/node/owner/pool.go
@@ -24,10 +24,10 @@
 	// reservedControlConns is how many of a member's connections are reserved for
 	// the control connections of the hosts that monitor its group.
 	reservedControlConns = 4
-	// maxQueuedPerSlot bounds the requests that wait for one member.
+	// maxQueuedPerSlot bounds the requests that wait for one member, per slot.
 	maxQueuedPerSlot = 64
-	// maxUnconfirmedPerSlot bounds the writes that have run and are not yet
-	// confirmed by a majority.
+	// maxUnconfirmedPerSlot bounds the writes that have run on one member and are
+	// not yet confirmed by a majority, per slot.
 	maxUnconfirmedPerSlot = 32
 	// maxTeamQueueShare is the fraction of the queue that one team may occupy.
 	maxTeamQueueShare = 0.5
@@ -48,8 +48,8 @@
 	log         zerolog.Logger
 	startedAt   time.Time
 
-	// mu guards the fields below. It is not held during calls to other
-	// components.
+	// mu guards the fields below, except unconfirmed. It is not held during calls
+	// to other components.
 	mu    sync.Mutex
 	queue *admit.Queue
 	// tickets holds a channel for each queued request, which receives true when
@@ -72,9 +72,9 @@
 	drained chan struct{}
 }
 
-func newPool(spec conf.Upstream, target upstream.Target, w *groupmonitor.Monitor, answerLimit int, log zerolog.Logger) *pool {
+func newPool(spec conf.Upstream, target upstream.Target, monitor *groupmonitor.Monitor, answerLimit int, log zerolog.Logger) *pool {
 	return &pool{
-		spec: spec, target: target, monitor: w, answerLimit: answerLimit, log: log, startedAt: time.Now(),
+		spec: spec, target: target, monitor: monitor, answerLimit: answerLimit, log: log, startedAt: time.Now(),
 		queue: admit.NewQueue(admit.Config{
 			Slots: spec.Slots, MaxQueued: spec.Slots * maxQueuedPerSlot, MaxTeamShare: maxTeamQueueShare,
 		}),
--- a/node/owner/pool_claim.go
+++ b/node/owner/pool_claim.go
@@ -85,8 +85,8 @@
 // stillLocked reports whether the control connection that took the lock is still
 // open.
 func (c *poolClaim) stillLocked(generation uint64) bool {
-	now, connected := c.group.controls[c.spec.Name].Generation()
-	return connected && now == generation
+	current, connected := c.group.controls[c.spec.Name].Generation()
+	return connected && current == generation
 }
 
 // tryLock tries to take the member's lock. If another host holds it, tryLock
@@ -115,9 +115,9 @@
 	defer cancel()
 	c.pool.drain(ctx)
 	c.setLocked(false)
-	unlock, done := context.WithTimeout(context.Background(), lockTimeout)
-	defer done()
-	_ = c.group.controls[c.spec.Name].Unlock(unlock, c.lockKey)
+	unlockCtx, cancelUnlock := context.WithTimeout(context.Background(), lockTimeout)
+	defer cancelUnlock()
+	_ = c.group.controls[c.spec.Name].Unlock(unlockCtx, c.lockKey)
 	eventlog.PoolReleased.Info(c.owner.cfg.Log).Str("upstream", c.spec.Name).Send()
 }
 
--- a/node/promoter/collect_reports.go
+++ b/node/promoter/collect_statuses.go
@@ -9,7 +9,7 @@
 // controlResult is a replica's answer to a control operation, or the failure to
 // get one.
 type controlResult struct {
-	report succession.CandidateStatus
+	status succession.CandidateStatus
 	failed bool
 }
 
@@ -19,25 +19,25 @@
 // replica would prolong the outage.
 const surveyGracePeriod = 250 * time.Millisecond
 
-// collectReports collects the answers to a control operation. If oneSuffices is set, it
-// stops waiting surveyGracePeriod after the first answer. The channel must have
-// capacity for all answers, because late ones are not read.
-func collectReports(results <-chan controlResult, asked int, oneSuffices bool) []succession.CandidateStatus {
-	var reports []succession.CandidateStatus
+// collectStatuses collects the answers to the given number of control operations. If
+// oneSuffices is set, it stops waiting surveyGracePeriod after the first answer. The
+// channel must have capacity for all answers, because late ones are not read.
+func collectStatuses(results <-chan controlResult, sent int, oneSuffices bool) []succession.CandidateStatus {
+	var statuses []succession.CandidateStatus
 	var graceOver <-chan time.Time
-	for pending := asked; pending > 0; pending-- {
+	for pending := sent; pending > 0; pending-- {
 		select {
 		case result := <-results:
 			if result.failed {
 				continue
 			}
-			reports = append(reports, result.report)
+			statuses = append(statuses, result.status)
 			if oneSuffices && graceOver == nil {
 				graceOver = time.After(surveyGracePeriod)
 			}
 		case <-graceOver:
-			return reports
+			return statuses
 		}
 	}
-	return reports
+	return statuses
 }
--- a/node/promoter/collect_reports_test.go
+++ b/node/promoter/collect_statuses_test.go
@@ -14,7 +14,7 @@
 func answerAfter(results chan<- controlResult, d time.Duration, id string, failed bool) {
 	go func() {
 		time.Sleep(d)
-		results <- controlResult{report: succession.CandidateStatus{ID: id}, failed: failed}
+		results <- controlResult{status: succession.CandidateStatus{ID: id}, failed: failed}
 	}()
 }
 
@@ -26,8 +26,8 @@
 		answerAfter(results, 40*time.Millisecond, "near", false)
 		answerAfter(results, 700*time.Millisecond, "silent", true)
 		started := time.Now()
-		reports := collectReports(results, 2, true)
-		require.Len(t, reports, 1)
+		statuses := collectStatuses(results, 2, true)
+		require.Len(t, statuses, 1)
 		require.Equal(t, 40*time.Millisecond+surveyGracePeriod, time.Since(started))
 		// The late answer must not block its sender.
 		time.Sleep(time.Second)
@@ -39,7 +39,7 @@
 		results := make(chan controlResult, 2)
 		answerAfter(results, 40*time.Millisecond, "near", false)
 		answerAfter(results, 200*time.Millisecond, "slow", false)
-		require.Len(t, collectReports(results, 2, true), 2)
+		require.Len(t, collectStatuses(results, 2, true), 2)
 	})
 }
 
@@ -50,10 +50,10 @@
 		results := make(chan controlResult, 2)
 		answerAfter(results, 40*time.Millisecond, "near", false)
 		answerAfter(results, 650*time.Millisecond, "slow", false)
-		require.Len(t, collectReports(results, 2, false), 2)
+		require.Len(t, collectStatuses(results, 2, false), 2)
 	})
 }
 
 func TestSurveyWithoutReplicasReturns(t *testing.T) {
-	require.Empty(t, collectReports(nil, 0, true))
+	require.Empty(t, collectStatuses(nil, 0, true))
 }
--- a/node/promoter/peer_reports.go
+++ b/node/promoter/peer_reports.go
@@ -13,21 +13,21 @@
 	// peerReportTimeout bounds the wait for a report. It covers a few round trips
 	// between regions and scheduling delay on a busy host.
 	peerReportTimeout = 150 * time.Millisecond
-	// peerReportInterval is the minimum time between two questions to one host.
+	// peerReportInterval is the minimum time between two requests to one host.
 	peerReportInterval = 60 * time.Millisecond
-	// questionTTL is how long a question from another host keeps the primary
-	// under suspicion. It spans several questions of a host that keeps asking.
-	questionTTL = 400 * time.Millisecond
+	// peerSuspicionTTL is how long a request from another host keeps the primary
+	// under suspicion. It spans several requests of a host that repeats them.
+	peerSuspicionTTL = 400 * time.Millisecond
 )
 
 // requestPeerReports asks other hosts about a suspected primary.
 //
 // The lock holder asks the voters as soon as it suspects the primary, so that
 // their reports are available once it considers the primary dead. Other hosts
-// alert the holder by asking it, and ask the voters only when they may soon have
-// to take over. A host that does not suspect the primary itself and was only
-// asked about it asks no others unless it holds the lock; otherwise questions
-// would circulate endlessly.
+// alert the holder by asking it for its report, and ask the voters only when they
+// may soon have to take over. A host that does not suspect the primary itself and
+// was only asked about it asks no others unless it holds the lock; otherwise
+// requests would circulate endlessly.
 func (p *Promoter) requestPeerReports(ctx context.Context, now time.Duration, suspected, dead bool) {
 	incarnation := p.currentPrimary()
 	lock := p.registry.LockOf(p.service)
@@ -67,10 +67,10 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, host := range hosts {
-		if host == p.host || now-p.askedAt[host] < peerReportInterval {
+		if host == p.host || now-p.requestedAt[host] < peerReportInterval {
 			continue
 		}
-		p.askedAt[host] = now
+		p.requestedAt[host] = now
 		go p.requestPeerReport(ctx, incarnation, host)
 	}
 }
@@ -78,26 +78,26 @@
 func (p *Promoter) requestPeerReport(ctx context.Context, incarnation, host string) {
 	ctx, cancel := context.WithTimeout(ctx, peerReportTimeout)
 	defer cancel()
-	asked := clock.Now()
+	sentAt := clock.Now()
 	report, answered := p.peers.RequestPeerReport(ctx, p.service, incarnation, host)
 	if !answered {
 		return
 	}
 	p.mu.Lock()
-	p.peerReports.Record(incarnation, report, asked)
+	p.peerReports.Record(incarnation, report, sentAt)
 	if report.Leading {
-		p.leaderSeenAt = max(p.leaderSeenAt, asked)
+		p.leaderSeenAt = max(p.leaderSeenAt, sentAt)
 	}
 	p.mu.Unlock()
 	p.Wake()
 }
 
-// PeerReport answers another host's question about a primary. If this host does
+// PeerReport answers another host's request for a report on a primary. If this host does
 // not consider the primary dead, it starts a check of its own.
 func (p *Promoter) PeerReport(ctx context.Context, incarnation string) succession.PeerReport {
 	now := clock.Now()
 	p.mu.Lock()
-	p.suspectedByPeerUntil = now + questionTTL
+	p.suspectedByPeerUntil = now + peerSuspicionTTL
 	p.mu.Unlock()
 	report := succession.PeerReport{
 		Host: p.host, StoreReached: !p.registry.StoreUnreachable(), Lock: p.registry.LockOf(p.service).Token(),
--- a/node/promoter/primary_report_test.go
+++ b/node/promoter/primary_report_test.go
@@ -42,11 +42,11 @@
 func (r reportingRegistry) Suspect(context.Context, string, string) error { return nil }
 func (r reportingRegistry) Trust(context.Context, string, string) error   { return nil }
 
-// countingPeers counts the questions to other hosts.
-type countingPeers struct{ questions atomic.Int64 }
+// countingPeers counts the report requests to other hosts.
+type countingPeers struct{ requests atomic.Int64 }
 
 func (p *countingPeers) RequestPeerReport(context.Context, string, string, string) (succession.PeerReport, bool) {
-	p.questions.Add(1)
+	p.requests.Add(1)
 	return succession.PeerReport{}, false
 }
 func (p *countingPeers) AddressOf(string) (string, bool)      { return "", false }
@@ -72,15 +72,15 @@
 				set := replicaset.New(replicaset.Config{Service: "svc", Host: h.Name, Log: zerolog.Nop()})
 				set.Update([]directory.Member{member}, catalog.Service{MaxConnections: 88}, fleet)
 				p := New(Config{Service: "svc", Host: h.Name, Set: set, Registry: registry, Peers: peers, Log: zerolog.Nop()})
-				before := peers.questions.Load()
+				before := peers.requests.Load()
 				p.requestPeerReports(ctx, clock.Now(), p.primarySuspected(clock.Now()), false)
-				require.Eventually(t, func() bool { return !p.actsOnReports() || peers.questions.Load() > before }, 20*time.Second, time.Millisecond)
+				require.Eventually(t, func() bool { return !p.actsOnReports() || peers.requests.Load() > before }, 20*time.Second, time.Millisecond)
 				if p.primarySuspected(clock.Now()) {
 					asking++
 				}
 			}
 			require.LessOrEqual(t, asking, succession.MaxVoters+1)
-			require.LessOrEqual(t, peers.questions.Load(), int64(2*succession.MaxVoters))
+			require.LessOrEqual(t, peers.requests.Load(), int64(2*succession.MaxVoters))
 		})
 	}
 }
--- a/node/promoter/promoter.go
+++ b/node/promoter/promoter.go
@@ -131,8 +131,8 @@
 	// started.
 	newestToken uint64
 	peerReports succession.PeerReports
-	// askedAt is when each host was last asked for its report.
-	askedAt map[string]time.Duration
+	// requestedAt is when each host was last asked for its report.
+	requestedAt map[string]time.Duration
 	// leaderSeenAt is when the lock holder last reported that it leads a
 	// promotion.
 	leaderSeenAt time.Duration
@@ -147,9 +147,9 @@
 	Peers         Peers
 	// Spec returns the declared configuration of the service.
 	Spec func() catalog.Service
-	// Observe receives the result of each promotion that this host has led.
+	// OnResult is called with the result of each promotion that this host has led.
 	OnResult func(Result)
-	// Features has the mechanisms that are disabled of the host.
+	// Features tells which features are disabled.
 	Features feature.Set
 	Log      zerolog.Logger
 }
@@ -159,7 +159,7 @@
 	return &Promoter{
 		service: cfg.Service, host: cfg.Host, set: cfg.Set, registry: cfg.Registry, platform: cfg.Platform, peers: cfg.Peers,
 		spec: cfg.Spec, onResult: cfg.OnResult, features: cfg.Features, log: cfg.Log.With().Str("service", cfg.Service).Logger(),
-		wake: make(chan struct{}, 1), storeWake: make(chan struct{}, 1), askedAt: map[string]time.Duration{},
+		wake: make(chan struct{}, 1), storeWake: make(chan struct{}, 1), requestedAt: map[string]time.Duration{},
 	}
 }
 
--- a/node/promoter/replace.go
+++ b/node/promoter/replace.go
@@ -76,33 +76,33 @@
 // cannot change afterwards. The first round guesses the term, which saves the
 // round trip to ask for it; a further round is needed if the guess was too low.
 func (p *Promoter) survey(ctx context.Context, deadPrimary string) ([]succession.CandidateStatus, error) {
-	var reports []succession.CandidateStatus
+	var candidates []succession.CandidateStatus
 	isPrimary := map[string]bool{}
 	newestTerm := p.set.Term()
 	for range maxSurveyRounds {
 		term := newestTerm + 1
-		asked := p.sendControlToReplicas(ctx, deadPrimary, func(id string) statement.Operation { return pauseOperation(isPrimary[id], term) })
-		reports = nil
-		for _, r := range asked {
+		answers := p.sendControlToReplicas(ctx, deadPrimary, func(id string) statement.Operation { return pauseOperation(isPrimary[id], term) })
+		candidates = nil
+		for _, r := range answers {
 			newestTerm = max(newestTerm, r.Status.Term)
 			if r.Status.Primary && !p.set.LostLog(r.ID, r.Status) {
-				return asked, errRecovered
+				return answers, errRecovered
 			}
 			// A member ignores an operation with a term that it already knows.
 			stopped := r.Status.PausedTerm >= term || isPrimary[r.ID]
 			if stopped && !r.Status.Primary {
-				reports = append(reports, r)
+				candidates = append(candidates, r)
 			}
 			isPrimary[r.ID] = r.Status.Primary
 		}
-		if _, ok := succession.ChooseCandidate(reports, p.replicaCount(deadPrimary), p.spec().SyncReplicas); ok {
-			return reports, nil
+		if _, ok := succession.ChooseCandidate(candidates, p.replicaCount(deadPrimary), p.spec().SyncReplicas); ok {
+			return candidates, nil
 		}
 		if ctx.Err() != nil {
 			break
 		}
 	}
-	return reports, errNoCandidate
+	return candidates, errNoCandidate
 }
 
 // pauseOperation returns the operation that stops a member's log from growing. A
@@ -125,21 +125,21 @@
 func (p *Promoter) sendControlToReplicas(ctx context.Context, oldPrimary string, operationFor func(id string) statement.Operation) []succession.CandidateStatus {
 	members := p.set.Members()
 	results := make(chan controlResult, len(members))
-	asked := 0
+	sent := 0
 	for _, m := range members {
 		if m.ID() == oldPrimary {
 			continue
 		}
-		asked++
+		sent++
 		go func() {
 			st, err := p.set.SendControl(ctx, m, operationFor(m.ID()))
 			if err != nil {
 				eventlog.GroupCommandFailed.Info(p.log).Err(err).Str("upstream", m.ID()).Str("order", "survey").Send()
 			}
-			results <- controlResult{report: succession.CandidateStatus{ID: m.ID(), Leaving: m.Leaving(), Status: st}, failed: err != nil}
+			results <- controlResult{status: succession.CandidateStatus{ID: m.ID(), Leaving: m.Leaving(), Status: st}, failed: err != nil}
 		}()
 	}
-	return collectReports(results, asked, p.spec().SyncReplicas == 0)
+	return collectStatuses(results, sent, p.spec().SyncReplicas == 0)
 }
 
 // resume restarts replication on paused replicas.
--- a/node/replicaset/set.go
+++ b/node/replicaset/set.go
@@ -85,7 +85,7 @@
 	Owner string
 	// Host is this host's name in the fleet passed to Update.
 	Host string
-	// Features has the disabled features of disabled.
+	// Features tells which features are disabled.
 	Features feature.Set
 	Log      zerolog.Logger
 }
--- a/node/soak/soak.go
+++ b/node/soak/soak.go
@@ -222,9 +222,9 @@
 			s.findings.add("%s: %v", h.name, err)
 			continue
 		}
-		for _, sign := range []string{"panic:", "WARNING: DATA RACE", "fatal error:"} {
-			if bytes.Contains(text, []byte(sign)) {
-				s.findings.add("%s logged %q, see %s", h.name, sign, filepath.Base(h.logPath()))
+		for _, marker := range []string{"panic:", "WARNING: DATA RACE", "fatal error:"} {
+			if bytes.Contains(text, []byte(marker)) {
+				s.findings.add("%s logged %q, see %s", h.name, marker, filepath.Base(h.logPath()))
 			}
 		}
 	}
--- a/node/soak/teams.go
+++ b/node/soak/teams.go
@@ -80,7 +80,7 @@
 	ran := map[string]time.Time{}
 	for _, record := range records {
 		for _, r := range record.runs {
-			if _, again := ran[r.ID]; !again {
+			if _, recorded := ran[r.ID]; !recorded {
 				ran[r.ID] = r.ExecutedAt
 			}
 		}
