--- a/core/classify/classify_test.go
+++ b/core/classify/classify_test.go
@@ -49,14 +49,15 @@
 	require.Equal(t, classify.Hints{Key: "k1", Class: "lookup", Unknown: []string{"colour"}}, st.Hints)
 }
 
-// FuzzClassify checks that the lexer terminates without a panic on any input.
+// FuzzClassify checks that the lexer terminates without a panic on any input, and that
+// no text with keywords or identifiers is classified as empty.
 func FuzzClassify(f *testing.F) {
 	for _, seed := range []string{"SELECT 1", "/*", "$a$", "'", `E'\`, "--", "\"", "/*/**/", "$1 $", "/* dotterelswitch: */"} {
 		f.Add(seed)
 	}
 	f.Fuzz(func(t *testing.T, sql string) {
 		st := classify.Classify(sql)
-		if st.Kind == classify.Empty && st.Count > 0 && len(st.Words) > 0 {
+		if st.Kind == classify.Empty && st.Count > 0 && len(st.Tokens) > 0 {
 			t.Fatalf("%q: classified as empty with %d statements", sql, st.Count)
 		}
 	})
--- a/core/classify/lexer.go
+++ b/core/classify/lexer.go
@@ -2,11 +2,12 @@
 
 import "strings"
 
-// lexer extracts the words of a query text by PostgreSQL's lexical rules.
+// lexer extracts the keywords, unquoted identifiers and hints of a query text by
+// PostgreSQL's lexical rules.
 type lexer struct {
-	src   string
-	pos   int
-	words []string
+	src    string
+	pos    int
+	tokens []string
 	// count is the number of non-empty statements so far; nonEmpty reports whether the
 	// current statement is one of them.
 	count    int
@@ -20,7 +21,7 @@
 	for l.pos < len(l.src) {
 		l.scanToken()
 	}
-	return l.words, l.count
+	return l.tokens, l.count
 }
 
 func (l *lexer) scanToken() {
@@ -57,7 +58,7 @@
 	}
 }
 
-// markNonEmpty counts the current statement, once.
+// markNonEmpty counts the current statement unless it has been counted.
 func (l *lexer) markNonEmpty() {
 	if !l.nonEmpty {
 		l.nonEmpty = true
@@ -153,7 +154,7 @@
 	for l.pos < len(l.src) && isWordPart(l.src[l.pos]) {
 		l.pos++
 	}
-	l.words = append(l.words, strings.ToUpper(l.src[start:l.pos]))
+	l.tokens = append(l.tokens, strings.ToUpper(l.src[start:l.pos]))
 }
 
 func isWordStart(c byte) bool {
--- a/core/directory/restored_test.go
+++ b/core/directory/restored_test.go
@@ -25,7 +25,7 @@
 var startTimes = map[string]directory.StartTime{"reported": 500, "not reported": 0}
 
 // TestRestoreDoesNotUndoLeaving covers a member that announced its shutdown after the
-// copy was made.
+// backup was made.
 func TestRestoreDoesNotUndoLeaving(t *testing.T) {
 	for name, startedAt := range startTimes {
 		d := directory.New()
@@ -60,7 +60,7 @@
 }
 
 // TestMemberMissingAfterRestoreGetsGracePeriod covers a member that joined after the
-// copy was made.
+// backup was made.
 func TestMemberMissingAfterRestoreGetsGracePeriod(t *testing.T) {
 	d := directory.New()
 	d.Put(entryAt(t, 1, 300, 9), 0)
@@ -108,15 +108,15 @@
 	require.False(t, d.Members()[0].Primary, "a second entry cannot be the restored one")
 }
 
-// TestLateWriteOfSameIncarnationIsIgnored covers a call without a response that the
+// TestDelayedWriteOfSameIncarnationIsIgnored covers a call without a response that the
 // store executes seconds later, after newer ones.
-func TestLateWriteOfSameIncarnationIsIgnored(t *testing.T) {
+func TestDelayedWriteOfSameIncarnationIsIgnored(t *testing.T) {
 	d := directory.New()
 	leaving := entryAt(t, 1, 300, 9)
 	leaving.Leaving, leaving.StartedAt = true, 500
 	d.Put(leaving, 0)
-	late := entryAt(t, 1, 301, 8)
-	late.StartedAt = 500
-	require.False(t, d.Put(late, time.Second))
+	delayed := entryAt(t, 1, 301, 8)
+	delayed.StartedAt = 500
+	require.False(t, d.Put(delayed, time.Second))
 	require.True(t, d.Members()[0].Leaving)
 }
--- a/core/gates/share_cache.go
+++ b/core/gates/share_cache.go
@@ -2,23 +2,24 @@
 
 import "github.com/dotterelswitch/dotterelswitch/core/membership"
 
-// ShareCache caches one host's shares in the members of a service. When the fleet
-// changes, only the shares that the change affects are recomputed (BenchmarkShares). It
-// is not safe for concurrent use.
+// ShareCache caches one host's shares of the connections of a service's members. When
+// the fleet changes, only the shares that the change affects are recomputed
+// (BenchmarkShares). It is not safe for concurrent use.
 type ShareCache struct {
 	host string
-	// generation is that of the fleet for which the rankings were computed.
+	// generation is the generation of the fleet that the rankings were computed from.
 	generation uint64
 	byMember   map[string]*cachedShare
 }
 
-// cachedShare is the cached share in one member and the inputs it was computed from.
+// cachedShare is the cached share of one member's connections and the inputs it was
+// computed from.
 type cachedShare struct {
 	member Member
-	// usable is how many connections the member accepted.
-	usable int
-	top    *membership.TopHosts
-	share  Share
+	// connections is how many connections the member accepted.
+	connections int
+	top         *membership.TopHosts
+	share       Share
 	// valid is set if share is up to date with the other fields.
 	valid bool
 }
@@ -28,7 +29,7 @@
 	return &ShareCache{host: host, byMember: map[string]*cachedShare{}}
 }
 
-// For returns the host's share in a member, equal to that of the plan.
+// For returns the host's share of a member's connections, equal to that of the plan.
 func (s *ShareCache) For(p Plan, m Member) Share {
 	s.update(p.fleet)
 	c, found := s.byMember[m.ID]
@@ -36,8 +37,8 @@
 		c = &cachedShare{top: p.fleet.nearestHosts(m, p.gateCount(m))}
 		s.byMember[m.ID] = c
 	}
-	if !c.valid || c.member != m || c.usable != p.usable {
-		c.member, c.usable = m, p.usable
+	if !c.valid || c.member != m || c.connections != p.connections {
+		c.member, c.connections = m, p.connections
 		c.share, c.valid = p.share(m, s.host, c.top), true
 	}
 	return c.share
--- a/core/group/cluster_test.go
+++ b/core/group/cluster_test.go
@@ -117,10 +117,10 @@
 	c.send(h, c.hosts[h].Tick(c.now))
 }
 
-// handover has a host replace a healthy member.
-func (c *cluster) handover() {
+// switchover has a host replace a healthy member.
+func (c *cluster) switchover() {
 	h := c.randomHost()
-	c.send(h, c.hosts[h].Handover(c.now, []string{c.randomMember().name}))
+	c.send(h, c.hosts[h].Switchover(c.now, []string{c.randomMember().name}))
 }
 
 // deliver delivers a random message, which may stay in the network as a
@@ -207,12 +207,12 @@
 	c.network = append(c.network, m)
 }
 
-// promote checks that a term has one primary, and that a new primary holds
-// every write acknowledged so far.
+// promote checks that a term has one primary, and that a new primary has every
+// write acknowledged so far.
 func (c *cluster) promote(target *modelMember, m message) bool {
-	was := target.primary
+	wasPrimary := target.primary
 	done := target.promote(m.action.Term, m.host)
-	if !done || was {
+	if !done || wasPrimary {
 		return done
 	}
 	if other, taken := c.primaryOf[m.action.Term]; taken && other != target.name {
@@ -287,10 +287,10 @@
 // committed. A primary of an older term than the confirming one may lack the
 // write, since it can no longer confirm anything.
 func (c *cluster) acknowledge() {
-	kept := c.pending[:0]
+	remaining := c.pending[:0]
 	for _, p := range c.pending {
 		if c.hosts[p.host].View().EntryState(p.position) != group.Committed {
-			kept = append(kept, p)
+			remaining = append(remaining, p)
 			continue
 		}
 		by, _ := c.hosts[p.host].View().Primary()
@@ -301,7 +301,7 @@
 		}
 		c.acked = append(c.acked, ackedWrite{position: p.position, term: by.GrantedTerm, at: c.now})
 	}
-	c.pending = kept
+	c.pending = remaining
 }
 
 // checkFreshness checks that a member which a host takes to be fresh as of some
--- a/core/statement/answer.go
+++ b/core/statement/answer.go
@@ -9,18 +9,19 @@
 const (
 	// Idle means that no transaction is open.
 	Idle TxState = iota
-	// Open means that a transaction is in progress.
-	Open
-	// Failed means that a statement of the open transaction failed, so that only its
-	// end is accepted.
-	Failed
+	// InTransaction means that a transaction is open.
+	InTransaction
+	// TransactionFailed means that a statement of the open transaction failed, so that
+	// only a commit or rollback is accepted.
+	TransactionFailed
 )
 
 // Code is the result code of a statement.
 type Code uint8
 
-// The codes. Busy to UnknownStatement guarantee that the attempt had no effect; the
-// later codes do not.
+// The codes. Their order is part of the protocol between hosts. Busy to
+// UnknownStatement guarantee that the attempt had no effect; the later codes do not.
+// Callers see the codes of package outcome instead.
 const (
 	// OK means that the statement succeeded.
 	OK Code = iota
--- a/node/edge/caller.go
+++ b/node/edge/caller.go
@@ -42,11 +42,11 @@
 	// transaction is idle.
 	idleInTxSince time.Duration
 
-	// The fields below are accessed by the running worker, or with mu held while
-	// none is running.
+	// Only the running worker accesses the fields below; while none is running, mu
+	// guards them.
 	session *session.Session
-	// credential is the key given at login. team is the team for which the latest
-	// statement was authorized.
+	// credential is the key given at login; team is the team that it belonged to
+	// when it was last checked.
 	credential catalog.Credential
 	team       catalog.Team
 	tx         *replicaset.Tx
@@ -107,11 +107,11 @@
 // work processes messages until the inbox is empty.
 func (s *caller) work() {
 	for {
-		a, ok := s.next()
+		m, ok := s.next()
 		if !ok {
 			return
 		}
-		if !s.handle(a) {
+		if !s.handle(m) {
 			s.close()
 		}
 	}
@@ -135,25 +135,25 @@
 		s.closeIfDraining()
 		return receivedMessage{}, false
 	}
-	a := s.inbox[0]
+	m := s.inbox[0]
 	s.inbox = s.inbox[1:]
 	s.idleInTxSince = 0
-	return a, true
+	return m, true
 }
 
 // handle processes one message. It reports whether the session continues.
-func (s *caller) handle(a receivedMessage) bool {
-	switch a.message.Kind {
+func (s *caller) handle(m receivedMessage) bool {
+	switch m.message.Kind {
 	case statement.Terminate:
 		return false
 	case statement.Login:
-		return s.login(a.message)
+		return s.login(m.message)
 	case statement.Query:
 		if s.session == nil {
 			s.send(s.gateway.proto.EncodeFatal(statement.Invalid, "a session starts with a login"))
 			return false
 		}
-		s.handleQuery(a)
+		s.handleQuery(m)
 		return true
 	default:
 		s.gateway.logLimited(eventlog.CallerViolation, func(l *zerolog.Event) {
@@ -263,8 +263,8 @@
 	s.flushAndClose()
 }
 
-// abortIdleTx rolls back a transaction that is idle between statements. The
-// caller gets the error with its next statement.
+// abortIdleTx rolls back a transaction that is idle between statements. The caller
+// gets an error in answer to its next statement.
 func (s *caller) abortIdleTx(reason string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/node/edge/query.go
+++ b/node/edge/query.go
@@ -18,11 +18,12 @@
 	// executionMargin is the part of a statement timeout reserved for execution:
 	// the queue of a busy member and a round trip between regions.
 	executionMargin = 150 * time.Millisecond
-	// attemptFraction, of the route's target latency, and minAttemptTime bound one
-	// attempt of a read, so that another member can still answer in time if the
-	// answer is lost.
+	// attemptFraction is the fraction of the route's target latency that one
+	// attempt of a read may take, so that another member can still answer in time
+	// if the answer is lost.
 	attemptFraction = 0.5
-	minAttemptTime  = 250 * time.Millisecond
+	// minAttemptTime is the lower bound of that time.
+	minAttemptTime = 250 * time.Millisecond
 )
 
 // handleQuery runs one statement and sends the answer.
@@ -84,8 +85,8 @@
 	return a
 }
 
-// failPossibleCommit is failStatement for a statement that may be a commit, which
-// ends its transaction even if it fails.
+// failPossibleCommit is failStatement for a statement that may be a commit: a failed
+// commit also ends its transaction.
 func (s *caller) failPossibleCommit(st statement.Statement, a statement.Answer) statement.Answer {
 	a = s.failStatement(a)
 	if st.Kind == statement.Commit {
@@ -103,20 +104,22 @@
 	}
 }
 
-// runOnMember runs a statement on a member.
+// runOnMember runs a statement on a member, within the team's rate limit.
 func (s *caller) runOnMember(st statement.Statement, route catalog.Route, receivedAt time.Duration) replicaset.Outcome {
-	w := s.newWork(st, route, receivedAt)
-	set := s.gateway.backend.AwaitSet(s.ctx, route.Service, w.StartDeadline)
+	req := s.newRequest(st, route, receivedAt)
+	set := s.gateway.backend.AwaitSet(s.ctx, route.Service, req.StartDeadline)
 	if set == nil {
 		return replicaset.Outcome{Answer: s.failStatement(statement.ErrorAnswer(statement.Busy, "no member of the service is known", statement.Idle))}
 	}
 	if s.tx != nil {
-		return s.runInTransaction(set, w)
+		return s.runInTransaction(set, req)
 	}
 	if retryAfter, admitted := s.gateway.backend.AdmitOperation(s.ctx, s.team); !admitted {
 		return s.refuseOperation(st, retryAfter)
 	}
-	out := s.startOperation(set, w)
+	out := s.startOperation(set, req)
+	// A busy answer without a member's signature is from this proxy: no member ran
+	// the operation.
 	if out.Answer.Code == statement.Busy && out.Answer.Signature == "" && s.tx == nil {
 		s.gateway.backend.RefundOperation(s.team)
 	}
@@ -125,16 +128,16 @@
 
 // startOperation runs a statement outside a transaction, or the first statement
 // of a transaction that needs a member.
-func (s *caller) startOperation(set *replicaset.Set, w replicaset.Request) replicaset.Outcome {
-	if s.session.State == statement.Open {
-		return s.runInTransaction(set, w)
+func (s *caller) startOperation(set *replicaset.Set, req replicaset.Request) replicaset.Outcome {
+	if s.session.State == statement.InTransaction {
+		return s.runInTransaction(set, req)
 	}
-	if w.Statement.Writes() {
-		out := set.Write(s.ctx, w)
+	if req.Statement.Writes() {
+		out := set.Write(s.ctx, req)
 		s.recordCommit(out.Answer)
 		return out
 	}
-	return set.Read(s.ctx, w)
+	return set.Read(s.ctx, req)
 }
 
 // refuseOperation refuses an operation that exceeds the team's limit.
@@ -150,7 +153,7 @@
 	}
 }
 
-func (s *caller) newWork(st statement.Statement, route catalog.Route, receivedAt time.Duration) replicaset.Request {
+func (s *caller) newRequest(st statement.Statement, route catalog.Route, receivedAt time.Duration) replicaset.Request {
 	endDeadline := receivedAt + route.StatementTimeout - responseMargin
 	startDeadline := endDeadline - executionMargin
 	onTimeUntil := receivedAt + time.Duration(connpool.OnTimeWaitFraction*float64(route.TargetLatency))
@@ -164,30 +167,30 @@
 
 // runInTransaction runs a statement in the open transaction. The first statement
 // selects the transaction's member.
-func (s *caller) runInTransaction(set *replicaset.Set, w replicaset.Request) replicaset.Outcome {
+func (s *caller) runInTransaction(set *replicaset.Set, req replicaset.Request) replicaset.Outcome {
 	out := replicaset.Outcome{}
 	if s.tx == nil {
-		tx, beginOutcome := set.Begin(s.ctx, w)
+		tx, beginOutcome := set.Begin(s.ctx, req)
 		out = beginOutcome
 		if tx == nil {
-			out.Answer = s.failPossibleCommit(w.Statement, out.Answer)
+			out.Answer = s.failPossibleCommit(req.Statement, out.Answer)
 			return out
 		}
 		s.tx = tx
 	}
 	out.Member, out.Gate = s.tx.Member(), s.tx.Gate()
-	switch w.Statement.Kind {
+	switch req.Statement.Kind {
 	case statement.Commit:
-		out.Answer = s.tx.Commit(s.ctx, w, s.session.Wrote)
+		out.Answer = s.tx.Commit(s.ctx, req, s.session.Wrote)
 		if s.session.Wrote {
 			s.recordCommit(out.Answer)
 		}
 		s.tx = nil
 		s.session.EndTransaction()
 	default:
-		s.session.Wrote = s.session.Wrote || w.Statement.Writes()
-		out.Answer = s.tx.Do(s.ctx, w)
-		if out.Answer.State != statement.Open {
+		s.session.Wrote = s.session.Wrote || req.Statement.Writes()
+		out.Answer = s.tx.Do(s.ctx, req)
+		if out.Answer.State != statement.InTransaction {
 			out.Answer = s.failStatement(out.Answer)
 		}
 	}
--- a/node/entry/failures_test.go
+++ b/node/entry/failures_test.go
@@ -49,7 +49,7 @@
 	d := deploy(t, 3, options())
 	primary := d.group.Primary()
 	key := "dotterelswitch/suspects/svc/" + primary.ID + "/host-1"
-	d.platform.Store.Put(key, strconv.AppendUint(nil, d.platform.Store.Era(), 10))
+	d.platform.Store.Put(key, strconv.AppendUint(nil, d.platform.Store.Epoch(), 10))
 	time.Sleep(time.Second)
 	require.Equal(t, primary.ID, d.group.Primary().ID)
 }
@@ -159,7 +159,7 @@
 	d.platform.Store.Compact()
 	d.platform.Store.SetWatchesBlocked(false)
 	require.Eventually(t, func() bool { return d.hosts[0].Catalog().Version == version }, waitLimit, pollInterval)
-	// Well below the watch timeout of 30 s, with room for a slow machine.
+	// Well below the watch's full timeout of 30 s.
 	require.Less(t, time.Since(startedAt), 15*time.Second)
 }
 
--- a/node/entry/metrics.go
+++ b/node/entry/metrics.go
@@ -27,8 +27,8 @@
 
 func (m *hostMetrics) handler() http.Handler { return m.metrics.Handler() }
 
-// observe records a finished statement, labelled by team, or by database if the
-// caller has no team.
+// observe records a finished statement. Its label is the team, or the database if
+// the caller has no team.
 func (m *hostMetrics) observe(r edge.Record) {
 	o := r.Outcome
 	label := r.Team
@@ -45,7 +45,7 @@
 }
 
 // storeCall counts a call to the platform's store.
-func (m *hostMetrics) storeCall(call registry.CallName, result string) {
+func (m *hostMetrics) storeCall(call registry.StoreCall, result string) {
 	m.metrics.Count("store_calls", metrics.Label{Name: "call", Value: string(call)}, metrics.Label{Name: "result", Value: result})
 }
 
--- a/node/entry/peers.go
+++ b/node/entry/peers.go
@@ -8,7 +8,7 @@
 	"slices"
 	"time"
 
-	"github.com/dotterelswitch/dotterelswitch/core/mechanism"
+	"github.com/dotterelswitch/dotterelswitch/core/feature"
 	"github.com/dotterelswitch/dotterelswitch/core/store"
 	"github.com/dotterelswitch/dotterelswitch/node/clock"
 	"github.com/dotterelswitch/dotterelswitch/node/eventlog"
@@ -22,9 +22,7 @@
 	// datagramKey identifies datagrams of this system. It is not a secret: the
 	// platform issues none to hosts and isolates their network.
 	datagramKey = "dotterelswitch"
-	// floorQueryFanOut is the number of hosts queried for a floor: the primary's
-	// gates first, then other hosts, which may have a recent answer from the
-	// primary.
+	// floorQueryFanOut is the number of hosts queried for a floor.
 	floorQueryFanOut = 4
 	// peerQueryTimeout bounds the wait for an answer from another host.
 	peerQueryTimeout = 300 * time.Millisecond
@@ -45,14 +43,14 @@
 
 // RunJob implements peer.GateHandler.
 func (h *Host) RunJob(ctx context.Context, service string, j replicaset.Job) replicaset.Result {
-	h.remoteJobs.Add(1)
-	defer h.remoteJobs.Add(-1)
+	h.remoteJobCount.Add(1)
+	defer h.remoteJobCount.Add(-1)
 	s := h.AwaitSet(ctx, service, j.Request.StartDeadline)
 	if s == nil {
 		return replicaset.Result{Err: &replicaset.RefusedError{Reason: "the service is not known here"}}
 	}
 	res := s.Execute(ctx, j)
-	if h.settings.Disabled.Enabled(mechanism.RefusalFloors) {
+	if h.settings.Features.Enabled(feature.RefusalFloors) {
 		res.Floor, _ = s.Floor()
 	}
 	if res.Err == nil {
@@ -60,7 +58,7 @@
 	}
 	if suppressed, ok := h.logBudget.Allow(eventlog.GateJobFailed, clock.Now()); ok {
 		eventlog.GateJobFailed.Info(h.log).Str("request", j.Request.Statement.ID).Str("service", service).
-			Str("upstream", j.Member).Str("owner", j.Owner).Bool("handed", res.StatementSent).
+			Str("upstream", j.Member).Str("owner", j.Owner).Bool("handed", res.StatementMayHaveRun).
 			Dur("waited_ms", res.Waited).Err(res.Err).Int("left_out", suppressed).Send()
 	}
 	return res
@@ -98,10 +96,10 @@
 func (h *Host) handlePeerMessage(m gossip.Message) gossip.Message {
 	now := clock.Now()
 	var out gossip.Message
-	if q := m.AskLost; q != nil {
-		out.Opinion = h.opinion(*q)
+	if q := m.PeerReportRequest; q != nil {
+		out.PeerReport = h.peerReport(*q)
 	}
-	if l := m.Lead; l != nil {
+	if l := m.Leadership; l != nil {
 		if s := h.Set(l.Service); s != nil {
 			s.ObserveLeadership(replicaset.Leadership{Primary: l.Primary, Term: l.Term})
 		}
@@ -125,7 +123,7 @@
 // queryPeersForFloor starts queries for the floor of a service to other hosts and
 // returns immediately.
 func (h *Host) queryPeersForFloor(service string) {
-	if !h.settings.Disabled.Enabled(mechanism.PeerFloors) {
+	if !h.settings.Features.Enabled(feature.PeerFloors) {
 		return
 	}
 	for _, address := range h.floorPeers(service) {
@@ -134,7 +132,8 @@
 }
 
 // floorPeers returns the addresses of the hosts to query for a floor: the primary's
-// gates first, then random others.
+// gates first, then random others, which may have had a recent answer from the
+// primary.
 func (h *Host) floorPeers(service string) []string {
 	var addresses []string
 	if s := h.Set(service); s != nil {
--- a/node/entry/traffic.go
+++ b/node/entry/traffic.go
@@ -15,10 +15,10 @@
 const trafficLogInterval = 5 * time.Second
 
 // The purposes of datagrams to other hosts, and the prefix for calls to the store,
-// which are counted by name and result.
+// which are counted by name and result. The texts are part of the log format.
 const (
 	trafficFloor        = "datagram floor"
-	trafficOpinion      = "datagram opinion"
+	trafficPeerReport   = "datagram opinion"
 	trafficAnnouncement = "datagram announcement"
 	trafficLiveness     = "datagram alive"
 	trafficQuota        = "datagram quota"
@@ -80,7 +80,7 @@
 }
 
 // recordStoreCall counts a call to the platform's store.
-func (h *Host) recordStoreCall(call registry.CallName, result string) {
+func (h *Host) recordStoreCall(call registry.StoreCall, result string) {
 	h.metrics.storeCall(call, result)
 	h.traffic.add(trafficStorePrefix + string(call) + " " + result)
 }
--- a/node/peer/gate_server.go
+++ b/node/peer/gate_server.go
@@ -25,7 +25,8 @@
 	Configuration(above uint64) []byte
 	// StreamChanges sends the changes of the store after a revision.
 	StreamChanges(ctx context.Context, after store.Revision, send func(registry.Update) error) error
-	// Detached is called when the host that owns transactions is gone.
+	// Detached is called when the Attach stream of an owner of transactions ends,
+	// because its host has stopped or is unreachable.
 	Detached(owner string)
 }
 
@@ -39,8 +40,8 @@
 
 // Run implements peerpbconnect.GateHandler.
 func (s *gateServer) Run(ctx context.Context, req *connect.Request[peerpb.JobRequest]) (*connect.Response[peerpb.JobResponse], error) {
-	// If the sender disconnects, a waiting statement is dropped. One that has
-	// started runs to completion within its own deadlines.
+	// If the sender disconnects, ctx ends and a statement that still waits is
+	// dropped. One that has started runs to completion within its own deadlines.
 	job := jobFromProto(req.Msg)
 	res := s.handler.RunJob(ctx, req.Msg.GetService(), job)
 	if ctx.Err() != nil && res.Tx != 0 && job.Kind == replicaset.JobBegin {
--- a/node/platformdemo/demo.go
+++ b/node/platformdemo/demo.go
@@ -152,8 +152,8 @@
 func hostSettings(i int) (entry.Settings, error) {
 	zone := []string{"zone-a", "zone-b", "zone-c"}[i%3]
 	s := entry.Settings{
-		Host: fmt.Sprintf("host-%d", i+1), Places: replicaset.Topology{Zone: zone},
-		MaxSessions: maxSessions, Workers: workersPerHost, GracePeriod: stopGracePeriod, DrainBound: 2 * stopGracePeriod,
+		Host: fmt.Sprintf("host-%d", i+1), Topology: replicaset.Topology{Zone: zone},
+		MaxSessions: maxSessions, Workers: workersPerHost, GracePeriod: stopGracePeriod, DrainTimeout: 2 * stopGracePeriod,
 		QuotaTolerance: tolerance,
 	}
 	for _, field := range []*string{&s.CallerAddress, &s.ReadinessAddress, &s.PeerAddress} {
@@ -189,6 +189,7 @@
 	case f == HostStop:
 		hosts[0].Stop()
 	case primary == nil:
+		// The other faults need a primary.
 	case f == PrimaryCrash:
 		primary.Crash()
 	case f == DrainPrimary:
--- a/node/promoter/replace.go
+++ b/node/promoter/replace.go
@@ -6,8 +6,8 @@
 	"fmt"
 	"time"
 
+	"github.com/dotterelswitch/dotterelswitch/core/feature"
 	"github.com/dotterelswitch/dotterelswitch/core/logpos"
-	"github.com/dotterelswitch/dotterelswitch/core/mechanism"
 	"github.com/dotterelswitch/dotterelswitch/core/statement"
 	"github.com/dotterelswitch/dotterelswitch/core/succession"
 	"github.com/dotterelswitch/dotterelswitch/node/clock"
@@ -28,28 +28,28 @@
 	// newPrimaryTimeout bounds the wait until a promoted member becomes primary.
 	newPrimaryTimeout      = 2500 * time.Millisecond
 	newPrimaryPollInterval = 20 * time.Millisecond
-	// pollsPerProbe is the number of local checks for each probe of the member,
-	// because a probe occupies one of its slots.
+	// pollsPerProbe is the number of polls of the local state per probe of the
+	// member. Probes are rarer because each occupies a slot of the member.
 	pollsPerProbe = 3
 )
 
 // replace promotes the replica with the most advanced log in place of a dead
 // primary.
-func (p *Promoter) replace(ctx context.Context, failed string, token uint64) error {
-	reports, err := p.survey(ctx, failed)
+func (p *Promoter) replace(ctx context.Context, deadPrimary string, token uint64) error {
+	reports, err := p.survey(ctx, deadPrimary)
 	if err != nil {
 		p.resume(ctx, reports)
 		return err
 	}
-	if id, found := p.set.BelievedPrimary(); found && id != failed {
+	if id, found := p.set.AssumedPrimary(); found && id != deadPrimary {
 		p.resume(ctx, reports)
 		return errRecovered
 	}
-	if m, known := p.set.Member(failed); known && !m.Dead(clock.Now()) {
+	if m, known := p.set.Member(deadPrimary); known && !m.Dead(clock.Now()) {
 		p.resume(ctx, reports)
 		return errRecovered
 	}
-	chosen, ok := succession.ChooseCandidate(reports, p.replicas(failed), p.spec().SyncReplicas)
+	chosen, ok := succession.ChooseCandidate(reports, p.replicaCount(deadPrimary), p.spec().SyncReplicas)
 	if !ok {
 		p.resume(ctx, reports)
 		return errNoCandidate
@@ -61,11 +61,11 @@
 	return nil
 }
 
-// replicas returns the number of members other than the failed one.
-func (p *Promoter) replicas(failed string) int {
+// replicaCount returns the number of members other than the dead primary.
+func (p *Promoter) replicaCount(deadPrimary string) int {
 	count := 0
 	for _, m := range p.set.Members() {
-		if m.ID() != failed {
+		if m.ID() != deadPrimary {
 			count++
 		}
 	}
@@ -73,77 +73,77 @@
 }
 
 // survey pauses replication on the replicas and returns their positions, which
-// cannot change afterwards. The first order already carries a guessed term:
-// asking for the current term first would cost another round trip.
-func (p *Promoter) survey(ctx context.Context, failed string) ([]succession.Report, error) {
-	var reports []succession.Report
-	leading := map[string]bool{}
-	newest := p.set.Term()
+// cannot change afterwards. The first round guesses the term, which saves the
+// round trip to ask for it; a further round is needed if the guess was too low.
+func (p *Promoter) survey(ctx context.Context, deadPrimary string) ([]succession.CandidateStatus, error) {
+	var candidates []succession.CandidateStatus
+	isPrimary := map[string]bool{}
+	newestTerm := p.set.Term()
 	for range maxSurveyRounds {
-		term := newest + 1
-		asked := p.orderReplicas(ctx, failed, func(id string) statement.Operation { return pauseOrder(leading[id], term) })
-		reports = nil
-		for _, r := range asked {
-			newest = max(newest, r.Status.Term)
+		term := newestTerm + 1
+		answers := p.sendControlToReplicas(ctx, deadPrimary, func(id string) statement.Operation { return pauseOperation(isPrimary[id], term) })
+		candidates = nil
+		for _, r := range answers {
+			newestTerm = max(newestTerm, r.Status.Term)
 			if r.Status.Primary && !p.set.LostLog(r.ID, r.Status) {
-				return asked, errRecovered
+				return answers, errRecovered
 			}
-			// A member ignores an order of a term that it already knows.
-			stopped := r.Status.PausedTerm >= term || leading[r.ID]
+			// A member ignores an operation with a term that it already knows.
+			stopped := r.Status.PausedTerm >= term || isPrimary[r.ID]
 			if stopped && !r.Status.Primary {
-				reports = append(reports, r)
+				candidates = append(candidates, r)
 			}
-			leading[r.ID] = r.Status.Primary
+			isPrimary[r.ID] = r.Status.Primary
 		}
-		if _, ok := succession.ChooseCandidate(reports, p.replicas(failed), p.spec().SyncReplicas); ok {
-			return reports, nil
+		if _, ok := succession.ChooseCandidate(candidates, p.replicaCount(deadPrimary), p.spec().SyncReplicas); ok {
+			return candidates, nil
 		}
 		if ctx.Err() != nil {
 			break
 		}
 	}
-	return reports, errNoCandidate
+	return candidates, errNoCandidate
 }
 
-// pauseOrder returns the order that freezes a member's log. A primary that has
-// restarted without its log steps down, so that it can follow a more complete
-// one.
-func pauseOrder(leads bool, term logpos.Term) statement.Operation {
-	if leads {
+// pauseOperation returns the operation that stops a member's log from growing. A
+// member that has restarted as primary without its log must step down, so that it
+// can replicate from a member with a more complete log.
+func pauseOperation(isPrimary bool, term logpos.Term) statement.Operation {
+	if isPrimary {
 		return statement.Operation{Verb: statement.StepDown, Term: term}
 	}
 	return statement.Operation{Verb: statement.PauseReplication, Term: term}
 }
 
-// sameOrder gives every member the same order.
-func sameOrder(op statement.Operation) func(string) statement.Operation {
+// sameOperation selects the same operation for every member.
+func sameOperation(op statement.Operation) func(string) statement.Operation {
 	return func(string) statement.Operation { return op }
 }
 
-// orderReplicas sends an order to all members except one and collects the
-// answers.
-func (p *Promoter) orderReplicas(ctx context.Context, failed string, order func(id string) statement.Operation) []succession.Report {
+// sendControlToReplicas sends a control operation to all members except the old
+// primary and collects the answers.
+func (p *Promoter) sendControlToReplicas(ctx context.Context, oldPrimary string, operationFor func(id string) statement.Operation) []succession.CandidateStatus {
 	members := p.set.Members()
-	results := make(chan orderResult, len(members))
-	asked := 0
+	results := make(chan controlResult, len(members))
+	sent := 0
 	for _, m := range members {
-		if m.ID() == failed {
+		if m.ID() == oldPrimary {
 			continue
 		}
-		asked++
+		sent++
 		go func() {
-			st, err := p.set.SendControl(ctx, m, order(m.ID()))
+			st, err := p.set.SendControl(ctx, m, operationFor(m.ID()))
 			if err != nil {
 				eventlog.GroupCommandFailed.Info(p.log).Err(err).Str("upstream", m.ID()).Str("order", "survey").Send()
 			}
-			results <- orderResult{report: succession.Report{ID: m.ID(), Leaving: m.Leaving(), Status: st}, failed: err != nil}
+			results <- controlResult{status: succession.CandidateStatus{ID: m.ID(), Leaving: m.Leaving(), Status: st}, failed: err != nil}
 		}()
 	}
-	return collectReports(results, asked, p.spec().SyncReplicas == 0)
+	return collectStatuses(results, sent, p.spec().SyncReplicas == 0)
 }
 
 // resume restarts replication on paused replicas.
-func (p *Promoter) resume(ctx context.Context, reports []succession.Report) {
+func (p *Promoter) resume(ctx context.Context, reports []succession.CandidateStatus) {
 	for _, r := range reports {
 		if m, known := p.set.Member(r.ID); known {
 			if _, err := p.set.SendControl(ctx, m, statement.Operation{Verb: statement.ResumeReplication}); err != nil {
@@ -153,8 +153,8 @@
 	}
 }
 
-// promote orders a promotion and waits until the member is primary.
-func (p *Promoter) promote(ctx context.Context, chosen succession.Report, token uint64) error {
+// promote requests a promotion and waits until the member is primary.
+func (p *Promoter) promote(ctx context.Context, chosen succession.CandidateStatus, token uint64) error {
 	started := clock.Now()
 	eventlog.PromotionOrdered.Info(p.log).Str("upstream", chosen.ID).Uint64("token", token).Stringer("received", chosen.Status.Received).Send()
 	if err := p.callPromote(ctx, chosen.ID, token); err != nil {
@@ -163,7 +163,7 @@
 	if err := p.awaitNewPrimary(ctx, chosen.ID); err != nil {
 		return err
 	}
-	if p.disabled.Enabled(mechanism.Announcement) {
+	if p.features.Enabled(feature.Announcement) {
 		p.peers.Announce(p.service, chosen.ID, p.set.Term())
 	}
 	eventlog.Promoted.Info(p.log).Str("upstream", chosen.ID).Uint64("token", token).
@@ -184,7 +184,7 @@
 			return nil
 		}
 		if tick%pollsPerProbe == 0 {
-			p.set.RequestStatus(ctx, m)
+			p.set.RefreshStatus(ctx, m)
 		}
 		clock.Sleep(ctx, newPrimaryPollInterval)
 	}
@@ -192,15 +192,15 @@
 }
 
 func (p *Promoter) isPrimary(id string) bool {
-	primary, found := p.set.BelievedPrimary()
+	primary, found := p.set.AssumedPrimary()
 	return found && primary == id
 }
 
 const (
-	// maxHandoverLag is how many entries a replica may lag behind when the
-	// primary is told to step down.
-	maxHandoverLag logpos.Offset = 20
-	// catchUpTimeout bounds the wait for a replica to come within maxHandoverLag.
+	// maxSwitchoverLag is how many log entries a replica may lag behind when the
+	// primary is asked to step down.
+	maxSwitchoverLag logpos.Offset = 20
+	// catchUpTimeout bounds the wait for a replica to come within maxSwitchoverLag.
 	catchUpTimeout = 2500 * time.Millisecond
 	// fullLogTimeout bounds the wait, after the primary has stepped down, for a
 	// replica to receive the complete log.
@@ -208,10 +208,10 @@
 	catchUpPollInterval = 30 * time.Millisecond
 )
 
-// handoverDue reports whether the primary is being drained and another member can
+// switchoverDue reports whether the primary is being drained and another member can
 // take over.
-func (p *Promoter) handoverDue() bool {
-	id, found := p.set.BelievedPrimary()
+func (p *Promoter) switchoverDue() bool {
+	id, found := p.set.AssumedPrimary()
 	if !found {
 		return false
 	}
@@ -227,10 +227,10 @@
 	return false
 }
 
-// handOver promotes a replica that has the complete log of a draining primary, so
-// that no entry is lost.
-func (p *Promoter) handOver(ctx context.Context, token uint64) error {
-	id, found := p.set.BelievedPrimary()
+// switchOver promotes a replica that has the complete log of a draining primary,
+// so that no entry is lost.
+func (p *Promoter) switchOver(ctx context.Context, token uint64) error {
+	id, found := p.set.AssumedPrimary()
 	if !found {
 		return errRecovered
 	}
@@ -247,20 +247,20 @@
 	if !complete {
 		// The old primary stays primary if no replica has the complete log; a
 		// later attempt may find one that has caught up.
-		chosen = succession.Report{ID: id, Status: st}
+		chosen = succession.CandidateStatus{ID: id, Status: st}
 	}
 	return p.promote(ctx, chosen, token)
 }
 
-// awaitCatchUp waits until a remaining replica is within maxHandoverLag of the
+// awaitCatchUp waits until a remaining replica is within maxSwitchoverLag of the
 // primary.
-func (p *Promoter) awaitCatchUp(ctx context.Context, old *replicaset.Member) {
+func (p *Promoter) awaitCatchUp(ctx context.Context, oldPrimary *replicaset.Member) {
 	deadline := clock.Now() + catchUpTimeout
 	for clock.Now() < deadline && ctx.Err() == nil {
-		status, err := p.set.Status(ctx, old)
+		status, err := p.set.Status(ctx, oldPrimary)
 		if err == nil {
-			for _, r := range p.remainingReplicas(ctx, old.ID()) {
-				if r.Status.Received.Offset+maxHandoverLag >= status.Received.Offset {
+			for _, r := range p.remainingReplicas(ctx, oldPrimary.ID()) {
+				if r.Status.Received.Offset+maxSwitchoverLag >= status.Received.Offset {
 					return
 				}
 			}
@@ -271,23 +271,23 @@
 
 // awaitFullLog waits until a remaining replica has received the log up to its
 // end.
-func (p *Promoter) awaitFullLog(ctx context.Context, old string, end logpos.Position) (succession.Report, bool) {
+func (p *Promoter) awaitFullLog(ctx context.Context, oldPrimary string, end logpos.Position) (succession.CandidateStatus, bool) {
 	deadline := clock.Now() + fullLogTimeout
 	for clock.Now() < deadline && ctx.Err() == nil {
-		for _, r := range p.remainingReplicas(ctx, old) {
+		for _, r := range p.remainingReplicas(ctx, oldPrimary) {
 			if r.Status.Received.Compare(end) >= 0 {
 				return r, true
 			}
 		}
 		time.Sleep(catchUpPollInterval)
 	}
-	return succession.Report{}, false
+	return succession.CandidateStatus{}, false
 }
 
 // remainingReplicas returns the status of the replicas that are not draining.
-func (p *Promoter) remainingReplicas(ctx context.Context, old string) []succession.Report {
-	var out []succession.Report
-	for _, r := range p.orderReplicas(ctx, old, sameOrder(statement.Operation{Verb: statement.ReportStatus})) {
+func (p *Promoter) remainingReplicas(ctx context.Context, oldPrimary string) []succession.CandidateStatus {
+	var out []succession.CandidateStatus
+	for _, r := range p.sendControlToReplicas(ctx, oldPrimary, sameOperation(statement.Operation{Verb: statement.ReportStatus})) {
 		if !r.Leaving {
 			out = append(out, r)
 		}
--- a/node/registry/registry.go
+++ b/node/registry/registry.go
@@ -13,8 +13,8 @@
 
 	"github.com/dotterelswitch/dotterelswitch/core/catalog"
 	"github.com/dotterelswitch/dotterelswitch/core/directory"
+	"github.com/dotterelswitch/dotterelswitch/core/feature"
 	"github.com/dotterelswitch/dotterelswitch/core/gates"
-	"github.com/dotterelswitch/dotterelswitch/core/mechanism"
 	"github.com/dotterelswitch/dotterelswitch/core/relay"
 	"github.com/dotterelswitch/dotterelswitch/core/roster"
 	"github.com/dotterelswitch/dotterelswitch/core/store"
@@ -52,7 +52,7 @@
 	watchWait time.Duration
 	// followHost receives changes from a relay; nil disables relays.
 	followHost FollowFunc
-	disabled   mechanism.Disabled
+	features   feature.Set
 	// fetchConfig fetches the configuration of another host; nil disables it.
 	fetchConfig FetchConfigFunc
 	// lastAnswered records the latest call that the store has answered.
@@ -85,20 +85,20 @@
 	// peerRevision is the newest revision that was learned from another host while
 	// the store was unreachable.
 	peerRevision store.Revision
-	// relaySelector chooses the relay to follow; direct is set while this host watches
-	// the store itself.
+	// relaySelector chooses the relay to follow.
 	relaySelector *relay.Selector
-	direct        bool
+	// direct is set while this host watches the store itself.
+	direct bool
 	// cancelWatch cancels the watch in progress.
 	cancelWatch context.CancelFunc
 	// followedRelay is the name of the relay that this host follows; empty for none.
 	followedRelay string
 	// lastContact is when the store or the relay last answered.
 	lastContact time.Duration
-	// history holds the changes after historyStart, for followers. historyChanged is
-	// closed and replaced at each change.
-	history        []store.Item
-	historyStart   store.Revision
+	// history holds the changes after historyStart, for followers.
+	history      []store.Item
+	historyStart store.Revision
+	// historyChanged is closed and replaced at each change of the history.
 	historyChanged chan struct{}
 	followers      int
 	updateCounts   UpdateCounts
@@ -131,7 +131,7 @@
 	FollowHost FollowFunc
 	// FetchConfig fetches the configuration of another host; nil disables it.
 	FetchConfig FetchConfigFunc
-	Disabled    mechanism.Disabled
+	Features    feature.Set
 	// Changed is called, without a lock, after each change.
 	Changed func()
 	Log     zerolog.Logger
@@ -143,11 +143,11 @@
 		wait = defaultWatchWait
 	}
 	followHost := cfg.FollowHost
-	if !cfg.Disabled.Enabled(mechanism.Relays) {
+	if !cfg.Features.Enabled(feature.Relays) {
 		followHost = nil
 	}
 	return &Registry{
-		store: cfg.Store, docs: cfg.Documents, self: cfg.Self, watchWait: wait, followHost: followHost, fetchConfig: cfg.FetchConfig, disabled: cfg.Disabled, changed: cfg.Changed, log: cfg.Log,
+		store: cfg.Store, docs: cfg.Documents, self: cfg.Self, watchWait: wait, followHost: followHost, fetchConfig: cfg.FetchConfig, features: cfg.Features, changed: cfg.Changed, log: cfg.Log,
 		directory: directory.New(), coordination: newCoordinationKeys(), roster: roster.New(), items: map[string]store.Item{}, unreadable: map[string]store.Revision{},
 		relaySelector: relay.New(cfg.Self), direct: true, historyChanged: make(chan struct{}), storeReached: make(chan struct{}, 1), registrationLost: make(chan struct{}, 1),
 	}
@@ -171,11 +171,11 @@
 	return out
 }
 
-// Suspecting returns the hosts that report a member as dead.
-func (r *Registry) Suspecting(service, member string) []string {
+// HostsReportingDead returns the hosts that report a member as dead.
+func (r *Registry) HostsReportingDead(service, member string) []string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.coordination.suspecting(service, member)
+	return r.coordination.hostsReportingDead(service, member)
 }
 
 // LockOf returns the promotion lock of a service; the zero Lock if nobody holds it.
@@ -185,9 +185,9 @@
 	return r.coordination.locks[service]
 }
 
-// Away reports whether a call to the store has failed and neither the store nor a relay
-// has sent data since.
-func (r *Registry) Away() bool {
+// StoreUnreachable reports whether a call to the store has failed and neither the
+// store nor a relay has sent data since.
+func (r *Registry) StoreUnreachable() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.unreachable
--- a/node/replicaset/gate_floor_test.go
+++ b/node/replicaset/gate_floor_test.go
@@ -10,9 +10,9 @@
 
 	"github.com/dotterelswitch/dotterelswitch/core/catalog"
 	"github.com/dotterelswitch/dotterelswitch/core/directory"
+	"github.com/dotterelswitch/dotterelswitch/core/feature"
 	"github.com/dotterelswitch/dotterelswitch/core/gates"
 	"github.com/dotterelswitch/dotterelswitch/core/logpos"
-	"github.com/dotterelswitch/dotterelswitch/core/mechanism"
 	"github.com/dotterelswitch/dotterelswitch/core/statement"
 	"github.com/dotterelswitch/dotterelswitch/node/clock"
 )
@@ -40,14 +40,14 @@
 
 func (*floorRemote) Drop(string) {}
 
-// setWithoutConnections returns the set of a host that keeps no connections and
-// whose latest floor is older than any staleness bound.
-func setWithoutConnections(r Remote, disabledNames ...mechanism.Name) *Set {
-	disabled := mechanism.Disabled{}
+// setWithoutConnections returns the set of a host that is not a gate of the members
+// and whose latest floor is older than any staleness bound.
+func setWithoutConnections(r Remote, disabledNames ...feature.Name) *Set {
+	features := feature.Set{}
 	for _, n := range disabledNames {
-		disabled[n] = true
+		features[n] = true
 	}
-	s := New(Config{Service: "svc", Remote: r, Host: "h0", Disabled: disabled, Log: zerolog.Nop()})
+	s := New(Config{Service: "svc", Remote: r, Host: "h0", Features: features, Log: zerolog.Nop()})
 	hosts := []gates.Host{{Name: "h0", Zone: "far", Address: "a0"}, {Name: "h1", Zone: "near", Address: "a1"}, {Name: "h2", Zone: "near", Address: "a2"}}
 	member := func(id string) directory.Member {
 		return directory.Member{Entry: directory.Entry{ID: id, Service: "svc", Zone: "near", Slots: 2}}
@@ -70,8 +70,8 @@
 	}
 }
 
-// TestReadWithoutAnyFloorGoesToPrimary checks that a read goes to the primary
-// after a gate has reported, once, that it knows no floor.
+// TestReadWithoutAnyFloorGoesToPrimary guards against asking further gates, instead
+// of the primary, after one gate has reported that it knows no floor.
 func TestReadWithoutAnyFloorGoesToPrimary(t *testing.T) {
 	r := &floorRemote{lacksFloor: true}
 	out := setWithoutConnections(r).Read(context.Background(), boundedRead500ms(time.Second))
@@ -93,12 +93,12 @@
 
 func TestGateFloorsDisabled(t *testing.T) {
 	r := &floorRemote{}
-	setWithoutConnections(r, mechanism.GateFloors).Read(context.Background(), boundedRead500ms(time.Second))
+	setWithoutConnections(r, feature.GateFloors).Read(context.Background(), boundedRead500ms(time.Second))
 	require.Zero(t, r.onReplica)
 }
 
-// TestGateRequestsFloorForRead checks that a gate without a floor asks its
-// peers, and refuses the read before it takes a connection if none answers.
+// TestGateRequestsFloorForRead checks that a gate without a floor asks other hosts,
+// and refuses the read before it takes a connection if none answers.
 func TestGateRequestsFloorForRead(t *testing.T) {
 	s := setWithoutConnections(nil)
 	j := Job{Kind: JobRead, Member: "replica", Request: boundedRead500ms(time.Second)}
--- a/node/replicaset/reclaim.go
+++ b/node/replicaset/reclaim.go
@@ -2,16 +2,16 @@
 
 import (
 	"github.com/dotterelswitch/dotterelswitch/core/connpool"
-	"github.com/dotterelswitch/dotterelswitch/core/mechanism"
+	"github.com/dotterelswitch/dotterelswitch/core/feature"
 	"github.com/dotterelswitch/dotterelswitch/node/clock"
 	"github.com/dotterelswitch/dotterelswitch/node/eventlog"
 )
 
 // reclaim rolls back a transaction that has been idle for too long on a
-// member's connection while a request waits for one. The caller gets an error
-// at its next step.
+// member's connection while a request waits for one. The transaction's caller gets
+// an error at its next statement.
 func (s *Set) reclaim(m *Member) {
-	if !s.disabled.Enabled(mechanism.Reclaim) {
+	if !s.features.Enabled(feature.Reclaim) {
 		return
 	}
 	if !m.exhausted() {
--- a/node/replicaset/set.go
+++ b/node/replicaset/set.go
@@ -8,10 +8,10 @@
 
 	"github.com/dotterelswitch/dotterelswitch/core/catalog"
 	"github.com/dotterelswitch/dotterelswitch/core/directory"
+	"github.com/dotterelswitch/dotterelswitch/core/feature"
 	"github.com/dotterelswitch/dotterelswitch/core/fresh"
 	"github.com/dotterelswitch/dotterelswitch/core/gates"
 	"github.com/dotterelswitch/dotterelswitch/core/logpos"
-	"github.com/dotterelswitch/dotterelswitch/core/mechanism"
 	"github.com/dotterelswitch/dotterelswitch/core/succession"
 	"github.com/dotterelswitch/dotterelswitch/node/eventlog"
 )
@@ -51,8 +51,8 @@
 	crossRegionRTT = 30 * time.Millisecond
 )
 
-// RoundTrip estimates the round-trip time to a zone.
-func (p Topology) RoundTrip(zone string) time.Duration {
+// EstimateRoundTrip estimates the round-trip time to a zone.
+func (p Topology) EstimateRoundTrip(zone string) time.Duration {
 	switch {
 	case zone == p.Zone:
 		return sameZoneRTT
@@ -69,8 +69,8 @@
 	Dial     DialFunc
 	Proto    Protocol
 	Topology Topology
-	// DrainTimeout is how long after its announcement a leaving member may be
-	// sent new work.
+	// DrainTimeout is how long a leaving member may be sent new work after it has
+	// announced its shutdown.
 	DrainTimeout time.Duration
 	// RequestFloor asks other hosts for a floor without waiting. Answers arrive
 	// through ObserveFloor.
@@ -85,8 +85,8 @@
 	Owner string
 	// Host is this host's name in the fleet passed to Update.
 	Host string
-	// Disabled lists the mechanisms that are turned off.
-	Disabled mechanism.Disabled
+	// Features tells which features are disabled.
+	Features feature.Set
 	Log      zerolog.Logger
 }
 
@@ -103,8 +103,8 @@
 	remote       Remote
 	owner        string
 	host         string
-	disabled     mechanism.Disabled
-	// gateHealth tracks which hosts answer their jobs.
+	features     feature.Set
+	// gateHealth tracks which gates answer their jobs.
 	gateHealth gateHealth
 	txs        txTable
 	log        zerolog.Logger
@@ -116,7 +116,7 @@
 	members map[string]*Member
 	// shareCache holds this host's shares of the members' connections.
 	shareCache *gates.ShareCache
-	// isVoter is set if this host votes on the loss of the primary.
+	// isVoter is set if this host votes on the primary's failure.
 	isVoter        bool
 	voters         *succession.VoterSet
 	primaryTracker succession.PrimaryTracker
@@ -140,7 +140,7 @@
 func New(cfg Config) *Set {
 	return &Set{
 		service: cfg.Service, dial: cfg.Dial, proto: cfg.Proto, topology: cfg.Topology, drainTimeout: cfg.DrainTimeout,
-		requestFloor: cfg.RequestFloor, onSuspect: cfg.OnSuspect, remote: cfg.Remote, owner: cfg.Owner, host: cfg.Host, disabled: cfg.Disabled, floorObserved: make(chan struct{}),
+		requestFloor: cfg.RequestFloor, onSuspect: cfg.OnSuspect, remote: cfg.Remote, owner: cfg.Owner, host: cfg.Host, features: cfg.Features, floorObserved: make(chan struct{}),
 		log:            cfg.Log.With().Str("service", cfg.Service).Logger(),
 		probeRequested: make(chan struct{}, 1), members: map[string]*Member{}, primaryChanged: make(chan struct{}),
 		shareCache: gates.NewShareCache(cfg.Host), voters: succession.NewVoterSet(cfg.Service),
@@ -181,7 +181,7 @@
 // shareOf returns this host's share of a member's connections. It is called
 // with mu held.
 func (s *Set) shareOf(plan gates.Plan, m gates.Member) gates.Share {
-	if !s.disabled.Enabled(mechanism.Gates) {
+	if !s.features.Enabled(feature.Gates) {
 		return plan.EvenShare()
 	}
 	return s.shareCache.For(plan, m)
@@ -210,7 +210,7 @@
 	return created
 }
 
-// IsVoter reports whether this host votes on the loss of the primary.
+// IsVoter reports whether this host votes on the primary's failure.
 func (s *Set) IsVoter() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/node/replicaset/tx.go
+++ b/node/replicaset/tx.go
@@ -13,7 +13,8 @@
 type Tx struct {
 	set    *Set
 	member *Member
-	// gate is the host that runs the transaction; empty for this one.
+	// gate is the address of the host that runs the transaction; empty for this
+	// one.
 	gate string
 	id   uint64
 }
@@ -21,7 +22,8 @@
 // Member returns the name of the member that runs the transaction.
 func (t *Tx) Member() string { return t.member.id }
 
-// Gate returns the host that runs the transaction; empty for this one.
+// Gate returns the address of the host that runs the transaction; empty for this
+// one.
 func (t *Tx) Gate() string { return t.gate }
 
 // Begin opens a transaction. If it fails, the Tx is nil and the outcome is a
@@ -51,13 +53,13 @@
 func (t *Tx) Do(ctx context.Context, req Request) statement.Answer {
 	res := t.set.stepTx(ctx, t.member, t.gate, Job{Kind: JobStatement, Request: req, Tx: t.id})
 	if res.Err != nil {
-		return statement.ErrorAnswer(statement.Aborted, "the transaction was rolled back: "+res.Err.Error(), statement.Failed)
+		return statement.ErrorAnswer(statement.Aborted, "the transaction was rolled back: "+res.Err.Error(), statement.TransactionFailed)
 	}
 	return res.Answer
 }
 
-// Commit commits the transaction. The parameter wrote tells whether it has
-// writes; only then can a lost answer leave the outcome unknown.
+// Commit commits the transaction. wrote is set if the transaction has writes; only
+// then can a lost answer leave the outcome unknown.
 func (t *Tx) Commit(ctx context.Context, req Request, wrote bool) statement.Answer {
 	res := t.set.stepTx(ctx, t.member, t.gate, Job{Kind: JobCommit, Request: req, Tx: t.id, Wrote: wrote})
 	if res.Err != nil {
--- a/node/soak/inject.go
+++ b/node/soak/inject.go
@@ -8,8 +8,7 @@
 	"github.com/dotterelswitch/dotterelswitch/standin/lineplatform"
 )
 
-// memberDelay is the latency that DelayMember adds in each direction, several
-// times the service time of a statement.
+// memberDelay is the latency that DelayMember adds in each direction.
 const memberDelay = 60 * time.Millisecond
 
 // The number of answers that LoseAnswers drops, and of calls that RefusePromotion
@@ -74,8 +73,8 @@
 	host.stop()
 }
 
-func (s *soakRun) failStore(o lineplatform.FailureMode, d time.Duration) {
-	s.platform.Store.SetFailureMode(o)
+func (s *soakRun) failStore(mode lineplatform.FailureMode, d time.Duration) {
+	s.platform.Store.SetFailureMode(mode)
 	time.Sleep(d)
 	s.platform.Store.SetFailureMode(lineplatform.Healthy)
 }
--- a/node/soak/teams.go
+++ b/node/soak/teams.go
@@ -78,9 +78,9 @@
 // one operation, counted at its first statement.
 func operationsOf(team string, records []groupRecord, histories []history) []operation {
 	ran := map[string]time.Time{}
-	for _, e := range records {
-		for _, r := range e.runs {
-			if _, again := ran[r.ID]; !again {
+	for _, record := range records {
+		for _, r := range record.runs {
+			if _, recorded := ran[r.ID]; !recorded {
 				ran[r.ID] = r.ExecutedAt
 			}
 		}
